--- a/shard/admit.go
+++ b/shard/admit.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// surveyPause is the time between two reckonings of the work that waits, which
-	// walks through all jobs; what is taken in between is added.
+	// backlogRefreshInterval is the minimum time between two full backlog estimates, each of
+	// which walks all jobs. Jobs accepted in between are added to the current estimate.
 	surveyPause = 100 * time.Millisecond
 
-	// spreadSteps is the number of steps in which callers are spread.
+	// jitterSteps is the number of values of the jitter that spreads the retries of refused
+	// callers.
 	spreadSteps = 1 << 16
 )
 
-// demand is work that has to be done.
+// demand is the amount of work that a set of tasks needs.
 type demand struct {
-	// work is what it takes in instances for a time, quota the same in all of its
-	// organisation's quota, 0 where there is none, and starts its tasks.
+	// work is instance time: a task that needs a tenth of an instance for a second adds
+	// 100 ms. quotaTime is how long the work takes with the whole quota of its organisation,
+	// 0 if that has no quota. starts is the number of tasks that have yet to start.
 	work   time.Duration
 	quota  time.Duration
 	starts int
 }
 
-// survey is the work of jobs that can end in time, as reckoned at an instant.
+// survey is the remaining work of the jobs that can end in time, as of computedAt.
 type survey struct {
 	at   time.Time
 	each job.Room
 
-	// demands holds the work by organisation.
+	// demands holds the work of each organisation.
 	demands map[string]demand
 }
 
-// SetMost takes in how many instances the service could have at the most, by the word of
-// the owner of the instances; 0 means that nobody knows.
+// SetMaxInstances sets the maximum number of instances that the service could have, as reported
+// by the instance controller; 0 means that it is unknown.
 func (s *Shard) SetMost(instances int) {
 	s.most = instances
 }
 
-// admit decides whether a job that is handed in is taken.
+// admit decides whether a submitted job is accepted.
 func (s *Shard) admit(record Record, now time.Time) backlog.Verdict {
 	mayRefuse := !s.standbyUnread && len(s.refused)+len(s.refusing) < refusedMost
 	if mayRefuse && s.exceedsQuota(record) {
@@ -56,16 +58,16 @@
 		}
 	}
 	s.look(now)
-	asked := s.asked(record, now)
-	work, starts := s.survey.within(asked.Useful())
+	backlogJob := s.asked(record, now)
+	work, starts := s.survey.within(backlogJob.Useful())
 	verdict := backlog.Decide(backlog.Service{
 		Instances:       float64(s.most),
 		Work:            work,
 		Starts:          starts,
 		StartsPerSecond: s.opts.Starts.PerSecond(startBytes + len(record.Spec.Text)),
-	}, asked, float64(xxhash.Sum64String(record.ID)%spreadSteps)/spreadSteps)
-	if asked.Work == 0 {
-		// It is to last, or takes no room.
+	}, backlogJob, float64(xxhash.Sum64String(record.ID)%spreadSteps)/spreadSteps)
+	if backlogJob.Work == 0 {
+		// The job is long-running or needs no resources.
 		verdict.Take = true
 	}
 	if verdict.Take {
@@ -74,7 +76,8 @@
 	return verdict
 }
 
-// within returns the work and the starts that quotas let run in a time.
+// runnableWithin returns how much of the work and how many of the starts the quotas of all
+// organisations allow within span.
 func (v *survey) within(span time.Duration) (time.Duration, int) {
 	work, starts := 0.0, 0.0
 	for _, d := range v.demands {
@@ -92,7 +95,7 @@
 	v.demands[organisation] = v.demands[organisation].plus(d)
 }
 
-// asked returns what a job that is handed in asks for.
+// backlogJob returns what a submitted job requests; zero if the job is long-running.
 func (s *Shard) asked(record Record, now time.Time) backlog.Job {
 	if record.Spec.Lasting() {
 		return backlog.Job{}
@@ -109,7 +112,7 @@
 	}
 }
 
-// demandOf returns what all tasks of a job take.
+// jobDemand returns the demand of all tasks of a job; zero if the job is long-running.
 func (s *Shard) demandOf(record Record) demand {
 	j := newJob(record, record.Policy)
 	var sum demand
@@ -124,9 +127,9 @@
 	return sum
 }
 
-// demand returns what some tasks of a step take.
-func (s *Shard) demand(j *jobState, step *job.Step, takes time.Duration, count int) demand {
-	all := float64(count) * float64(takes)
+// demand returns the work of count tasks of a step that run for the given duration each.
+func (s *Shard) demand(j *jobState, step *job.Step, duration time.Duration, count int) demand {
+	all := float64(count) * float64(duration)
 	d := demand{
 		work: time.Duration(step.Charge().Share(s.survey.each) * all),
 	}
@@ -144,7 +147,8 @@
 	}
 }
 
-// look reckons the work that is left of all jobs that can end in time.
+// refreshBacklog estimates the remaining work of all jobs that can end in time, unless the last
+// estimate is younger than backlogRefreshInterval.
 func (s *Shard) look(now time.Time) {
 	if now.Sub(s.survey.at) < surveyPause {
 		return
@@ -168,13 +172,14 @@
 	}
 }
 
-// lookAt adds what has yet to start of a job that can end in time.
+// addPendingDemand adds the tasks of a job that have yet to start to the estimate, as far as the
+// job can still end in time.
 func (s *Shard) lookAt(j *jobState, now time.Time) {
 	if j.state.Final() || j.lasts() || j.record.Spec.Repeats > 0 {
 		return
 	}
 	if j.begunOccurrences == 0 {
-		// Its record does not stand yet.
+		// The record is not stored yet, so no occurrence exists.
 		s.survey.add(j.record.Organisation, s.demandOf(j.record))
 		return
 	}
@@ -196,8 +201,8 @@
 	}
 }
 
-// meanRoom returns the mean room of the service's workers by their own word; zero where
-// none is listed. Of a worker that is known by its row only, the room is not known.
+// meanCapacity returns the mean capacity in the registrations of the service's workers; zero if
+// there is none. The capacity of a worker that is known by its row only is unknown.
 func (s *Shard) meanRoom() job.Room {
 	var sum job.Room
 	count := 0
--- a/shard/advice.go
+++ b/shard/advice.go
@@ -9,49 +9,52 @@
 )
 
 const (
-	// askMost is the most workers in one question: the platform reckons with 30
-	// of them for a step.
+	// maxRequestedWorkers is the maximum number of workers that one ticket request names. The
+	// platform expects 30 for a step.
 	askMost = 30
 
-	// askAgain is the pause after a question without an answer, or one that
-	// named no worker.
+	// ticketRetryInterval is the pause after a ticket request that failed or granted no
+	// ticket.
 	askAgain = 300 * time.Millisecond
 
-	// asksMost is the most questions of a shard that are open at one time: the
-	// service takes them one by one and refuses more than 32 that wait.
+	// maxOpenTicketRequests is the maximum number of open ticket requests of a shard. The
+	// ticket service handles them one at a time and refuses more than 32 queued ones.
 	asksMost = 4
 
-	// ticketReserve is how long before its end a ticket is no longer used: an
-	// order may be under way for that long.
+	// ticketExpiryMargin is how long before its expiry a ticket is no longer used, because an
+	// order may be in transit for that long.
 	ticketReserve = 300 * time.Millisecond
 )
 
-// permission is what is known of who may run a step.
+// stepTickets holds which workers are known to be allowed, or not, to run a step.
 type permission struct {
-	// tickets maps a worker that may run the step to its ticket.
+	// tickets maps the id of a worker that may run the step to its ticket.
 	tickets map[string]string
 
-	// denied holds workers that may not; that never changes.
+	// denied holds the ids of workers that may not run the step. A denial never changes for
+	// an incarnation.
 	denied map[string]bool
 
+	// tickets are used until validUntil. requesting is set while a ticket request is open; the
+	// next one is sent at retryAt at the earliest.
 	until    time.Time
 	asking   bool
 	notAfter time.Time
 
-	// asked holds the workers that the last question named, as they were then.
+	// requested holds the incarnations of the workers that the last request named.
 	asked []*workerState
 }
 
-// Advised takes in the answer to a question.
-func (s *Shard) Advised(ask Ask, tickets outside.Tickets, err error, now time.Time) {
-	p := s.tickets[ask.Step]
+// TicketsReceived handles the answer to a ticket request.
+func (s *Shard) Advised(request Ask, tickets outside.Tickets, err error, now time.Time) {
+	p := s.tickets[request.Step]
 	if p == nil {
 		return
 	}
 	p.asking = false
 	if err != nil {
 		p.notAfter = now.Add(askAgain)
-		s.opts.Report("advice not had", "step", ask.Step, "workers", len(ask.Workers), "error", err.Error())
+		s.opts.Report("ticket request failed", "step", request.Step, "workers", len(request.Workers), "error", err.Error())
 		return
 	}
 	p.tickets = make(map[string]string, len(tickets.ByWorker))
@@ -59,8 +62,8 @@
 	for _, w := range p.asked {
 		id := w.reg.ID
 		if s.workers[id] != w {
-			// The answer holds of an incarnation that has ended: a worker that came back as
-			// one that may run the step was passed over for good.
+			// The answer is about an incarnation that has ended. A denial would exclude the
+			// new incarnation for good, although it may be allowed to run the step.
 			continue
 		}
 		if ticket, good := tickets.ByWorker[id]; good {
@@ -72,11 +75,11 @@
 	if len(p.tickets) == 0 {
 		p.notAfter = now.Add(askAgain)
 	}
-	s.opts.Report("advice had", "step", ask.Step, "workers", len(ask.Workers), "good", len(tickets.ByWorker))
+	s.opts.Report("tickets received", "step", request.Step, "workers", len(request.Workers), "good", len(tickets.ByWorker))
 }
 
-// mayPlace reports whether a step may be placed now. A step of an advised queue
-// without tickets is asked for.
+// ensureTickets reports whether a step may be placed now. If the step needs tickets and has none,
+// it requests them.
 func (s *Shard) mayPlace(g group, now time.Time) bool {
 	if !g.job.policy.Advised {
 		return true
@@ -98,7 +101,7 @@
 	return false
 }
 
-// asking counts the questions that are open.
+// requesting returns the number of ticket requests without an answer.
 func (s *Shard) asking() int {
 	count := 0
 	for _, p := range s.tickets {
@@ -109,7 +112,7 @@
 	return count
 }
 
-// ask puts the question for a step, naming the emptiest workers that could run it.
+// request orders a ticket request for a step and the least loaded workers that could run it.
 func (s *Shard) ask(step string, p *permission, spec *job.Step, now time.Time) {
 	var list []*workerState
 	for _, w := range s.workers {
@@ -127,18 +130,19 @@
 		}
 		return list[i].reg.ID < list[j].reg.ID
 	})
-	ask := Ask{
+	request := Ask{
 		Step: step,
 	}
 	p.asked = list[:min(askMost, len(list))]
 	for _, w := range p.asked {
-		ask.Workers = append(ask.Workers, w.reg.ID)
+		request.Workers = append(request.Workers, w.reg.ID)
 	}
 	p.asking = true
-	s.orders.Asks = append(s.orders.Asks, ask)
+	s.orders.Asks = append(s.orders.Asks, request)
 }
 
-// permitted reports whether a worker may run a task.
+// isPermitted reports whether a worker may run a task: the task needs no ticket, or the worker
+// has a valid one.
 func (s *Shard) permitted(id job.TaskID, w *workerState, now time.Time) bool {
 	j := s.jobs[id.Job]
 	if j == nil || !j.policy.Advised {
@@ -152,7 +156,7 @@
 	return good
 }
 
-// ticket returns the ticket that a start carries; empty where none is needed.
+// ticketFor returns the ticket that a start carries; empty if none is needed.
 func (s *Shard) ticket(id job.TaskID, w *workerState) string {
 	p := s.tickets[id.StepName()]
 	if p == nil {
@@ -161,8 +165,8 @@
 	return p.tickets[w.reg.ID]
 }
 
-// forgetTicketsOf drops what is known of who may run what on a worker: it holds of one
-// incarnation, and the next may be of another kind.
+// forgetWorkerTickets drops all tickets and denials of a worker. They are valid for one
+// incarnation, and the next one may be a worker of another kind.
 func (s *Shard) forgetTicketsOf(worker string) {
 	for _, p := range s.tickets {
 		delete(p.tickets, worker)
@@ -170,7 +174,7 @@
 	}
 }
 
-// forgetTickets drops what is known of the steps of a job.
+// forgetJobTickets drops the tickets and denials for the steps of a job.
 func (s *Shard) forgetTickets(j *jobState) {
 	for k := range j.occurrences {
 		for step := range j.record.Spec.Steps {
--- a/shard/batch.go
+++ b/shard/batch.go
@@ -8,81 +8,83 @@
 )
 
 const (
-	// progressEntries is the most entries of a transaction that one row of
-	// progress takes: itself, the record that it removes, and the wish for its
-	// cancellation.
+	// entriesPerProgress is the maximum number of transaction entries for one progress row:
+	// the row itself, the removal of the job's record, and the removal of the request for
+	// its cancellation.
 	progressEntries = 3
 
-	// recordEntries is what one record takes: itself, and the condition that it
-	// does not stand yet.
+	// entriesPerRecord is the number of transaction entries for one record: the record
+	// itself, and the condition that it does not exist yet.
 	recordEntries = 2
 
-	// recordBytes bounds the records of one batch: half of what the platform
-	// takes in one transaction.
+	// maxRecordBytes bounds the size of all records of one batch. It is half of the
+	// platform's limit for one transaction.
 	recordBytes = 512 << 10
 )
 
-// SubmittedMost bounds the jobs whose record waits for a batch: what an owner
-// writes in about a second on a calm day, and several times what callers wait for.
+// MaxSubmitted bounds the jobs whose record waits for a batch. It is what an owner writes in about
+// a second under normal load, and several times what callers wait for.
 const SubmittedMost = 4096
 
-// Batch is what has to be written as one transaction.
+// Batch holds the rows to be written in one transaction.
 type Batch struct {
-	// Records are of jobs that were handed in here; none may stand yet.
+	// Records are the records of newly submitted jobs. The write requires that none of them
+	// exists yet.
 	Records []Record
 
 	Writes []Write
 
-	// Refused are jobs that are turned away; no record of any may stand. Lifted are those
-	// whose refusal is needed no more.
+	// Refused are refused jobs; the write requires that none of them has a record.
+	// ExpiredRefusals are the ids of jobs whose refusal is removed.
 	Refused []Refused
 	Lifted  []string
 
-	// number is the batch's own; whole says that no progress was left out.
+	// number is the number of the batch. complete says that it leaves out no progress row
+	// that was due.
 	number int64
 	whole  bool
 }
 
-// Whole reports whether, once the batch is written, every end that was taken in
-// before stands in a row.
+// IsComplete reports whether, once the batch is written, every end that was handled before it was
+// built is stored.
 func (b Batch) Whole() bool {
 	return b.whole
 }
 
-// Existing is a record that stood already when a batch was to write it.
+// Existing is a record that was already stored when a batch tried to write it.
 type Existing struct {
 	Record  Record
 	Version int64
 }
 
-// Write is one row of progress, and whether the job's record goes with it.
+// Write is the write or removal of one progress row, and of rows that are removed with it.
 type Write struct {
 	ID       string
 	Progress Progress
 
-	// EndsRecord says that the record of the job is removed, EndsCancel that the
-	// row that asked for its cancellation is.
+	// RemoveRecord says that the record of the job is removed, RemoveCancelRequest that the
+	// row that requests its cancellation is.
 	EndsRecord bool
 	EndsCancel bool
 
-	// Forget says that the row of progress itself is removed.
+	// RemoveProgress says that the progress row is removed instead of written.
 	Forget bool
 }
 
-// Answer is what became of a job that was handed in.
+// SubmitResult is the outcome of Submit.
 type Answer struct {
-	// Taken says that the job's record stands. Otherwise it certainly was not taken.
+	// Accepted says that the job's record is stored. If it is false, the job was certainly not
+	// accepted.
 	Taken bool
 
-	// Refused says that the service has too much to do for the job to be of use, and
-	// ComeBack when it may be handed in again.
+	// Refused says that the service has so much work that the job could not end in a useful
+	// time. RetryAfter is how long the caller waits before it submits the job again.
 	Refused  bool
 	ComeBack time.Duration
 }
 
-// Submit takes in a job that is handed in at this owner. done is called once its
-// record stands, or it certainly was not taken. Nothing of the job is started before its
-// record stands.
+// Submit submits a job to this owner. It calls done once the job's record is stored, or once the
+// job is certainly not accepted. No task of the job starts before the record is stored.
 func (s *Shard) Submit(record Record, now time.Time, done func(Answer)) {
 	j, known := s.jobs[record.ID]
 	if !known {
@@ -113,8 +115,8 @@
 	}
 }
 
-// RefuseSubmitted turns away the jobs that no batch holds, because the store takes
-// nothing at the moment.
+// RefuseSubmitted rejects the submitted jobs whose record is in no batch, because the store
+// accepts no writes at the moment. It keeps jobs that were offered to the standby partition.
 func (s *Shard) RefuseSubmitted() {
 	var offered []*jobState
 	for _, j := range s.submitted {
@@ -130,10 +132,10 @@
 	s.DropRefusals()
 }
 
-// TakeBatch returns what has to be written next, in at most the given number of
-// entries; false means nothing. The batch must be answered by Written or Undo, or
-// sent again until it is written: a batch whose fate is unknown stands in the way
-// of any other.
+// NextBatch returns the next batch to write, with at most the given number of entries; false means
+// that there is nothing to write. The caller must answer with BatchWritten or UndoBatch, or send
+// the batch again until it is written. While the outcome of a batch is unknown, no other batch may
+// be written.
 func (s *Shard) TakeBatch(entries int, now time.Time) (Batch, bool) {
 	if len(s.dirty) == 0 && len(s.removed) == 0 && len(s.submitted) == 0 && len(s.refusing) == 0 {
 		return Batch{}, false
@@ -150,12 +152,12 @@
 	return b, true
 }
 
-// allWritten reports whether every row of progress stands as it is in memory.
+// allWritten reports whether the progress of every job is stored as it is in memory.
 func (s *Shard) allWritten() bool {
 	return len(s.dirty) == 0 && s.done == s.batch
 }
 
-// takeRecords moves records into a batch and returns their number.
+// addRecords moves records of submitted jobs into a batch and returns their number.
 func (s *Shard) takeRecords(b *Batch, most int) int {
 	size := 0
 	for len(s.submitted) > 0 && len(b.Records) < most {
@@ -171,7 +173,7 @@
 	return len(b.Records)
 }
 
-// takeProgress moves rows of progress into a batch and returns their number.
+// addProgress moves due progress rows into a batch and returns their number.
 func (s *Shard) takeProgress(b *Batch, most int) int {
 	ids := make([]string, 0, len(s.dirty))
 	for id := range s.dirty {
@@ -198,7 +200,7 @@
 	return len(ids)
 }
 
-// takeRemoved moves rows of forgotten jobs into a batch.
+// addRemoved moves the removal of progress rows of forgotten jobs into a batch.
 func (s *Shard) takeRemoved(b *Batch, most int) {
 	for n := 0; n < most && len(s.removed) > 0; n++ {
 		b.Writes = append(b.Writes, Write{
@@ -209,8 +211,8 @@
 	}
 }
 
-// Written takes in that a batch was written: states may be shown, ends
-// acknowledged, and jobs that were handed in started.
+// BatchWritten handles the successful write of a batch: states may be published, ends acknowledged
+// to workers, and submitted jobs started.
 func (s *Shard) Written(b Batch, now time.Time) {
 	if b.whole {
 		s.done = b.number
@@ -231,9 +233,8 @@
 	}
 }
 
-// recordStands takes in that the record of a job was written that was handed in
-// here. No owner before this one can have seen the job, unless one wrote it to the
-// standby part.
+// recordStored handles that the record of a job that was submitted here is stored. No earlier owner
+// can have seen the job, unless one wrote it to the standby partition.
 func (s *Shard) recordStands(j *jobState, now time.Time) {
 	j.unwritten = false
 	j.fresh = !s.standbyUnread
@@ -248,14 +249,14 @@
 	s.cancelAwaited(j.record.ID, now)
 }
 
-// writtenProgress takes in that a row of progress stands.
+// progressStored handles that a progress row is stored.
 func (s *Shard) writtenProgress(w Write, now time.Time) {
 	j := s.jobs[w.ID]
 	if w.Forget || j == nil {
 		return
 	}
 	if !w.Progress.State.Final() {
-		// The final state may have been told from the standby part meanwhile.
+		// The final state may have been published from the standby partition meanwhile.
 		if !j.state.Final() {
 			s.opts.Show(w.ID, w.Progress.State)
 		}
@@ -265,8 +266,8 @@
 	s.tellEnd(j, w.Progress.State, now)
 }
 
-// Undo takes back a batch that certainly was not written, because some of its
-// records stood already.
+// UndoBatch takes back a batch that certainly was not written, because some of its records or
+// refusals conflicted with stored records.
 func (s *Shard) Undo(b Batch, existing []Existing, now time.Time) {
 	stand := make(map[string]Existing, len(existing))
 	for _, e := range existing {
@@ -283,7 +284,7 @@
 			continue
 		}
 		if j.state.Final() {
-			// It was withdrawn meanwhile: its final state alone is written.
+			// The job was cancelled meanwhile: only its final state is written.
 			continue
 		}
 		j.submitted = true
@@ -298,12 +299,11 @@
 	}
 }
 
-// adopt takes in a job whose record another entry has written. An owner before
-// may have been told of it.
+// adoptExisting replaces a submitted job by the one whose record another entry has stored. A
+// previous owner may know of that job.
 func (s *Shard) adopt(j *jobState, e Existing, now time.Time) {
 	if j.state.Final() {
-		// It was withdrawn meanwhile; its final state follows and takes the record
-		// away.
+		// The job was cancelled meanwhile; the write of its final state removes the record.
 		j.unwritten = false
 		j.answerHanded(true)
 		return
@@ -320,8 +320,8 @@
 	}
 }
 
-// unsubmit takes a job that is withdrawn out of those whose record is to be
-// written: its final state alone is.
+// unsubmit removes a job that has ended, such as a cancelled one, from those whose record waits for
+// a batch: only its final state is written.
 func (s *Shard) unsubmit(j *jobState) {
 	if !j.submitted {
 		return
@@ -335,7 +335,7 @@
 	}
 }
 
-// answerHanded tells those who handed the job in what became of it.
+// answerSubmitters reports to the pending Submit calls of a job whether it was accepted.
 func (j *jobState) answerHanded(taken bool) {
 	for _, done := range j.handed {
 		done(Answer{
--- a/shard/calls.go
+++ b/shard/calls.go
@@ -5,22 +5,22 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// Ask is a question which workers may run a step.
+// TicketRequest is an order to request tickets with which workers may run a step.
 type Ask struct {
 	Step    string
 	Workers []string
 }
 
-// Hold is an order to renew a worker's leases and look at it.
+// Poll is an order to renew a worker's leases and to read its runs and ends.
 type Hold struct {
-	// Call tells the order from every other one of this owner.
+	// Call is the number of the order, unique for this owner.
 	Call    int64
 	Worker  outside.WorkerRef
 	Renewal outside.Renewal
 }
 
-// Orders are what a shard wants done. Each start, stop, look and lookup is answered by
-// one call of Started, Stopped, Held or LookedUp.
+// Orders are the calls that a shard's owner has to make. Each start, stop, poll and lookup is
+// answered by one call of Started, Stopped, Polled or LookedUp.
 type Orders struct {
 	Starts []Start
 	Stops  []Stop
@@ -28,14 +28,14 @@
 
 	Lookups []Lookup
 
-	// Paces are answered by one call of Paced each.
+	// Each pace is answered by one call of Paced.
 	Paces []Pace
 
-	// Asks are answered by one call of Advised each.
+	// Each ticket request is answered by one call of TicketsReceived.
 	Asks []Ask
 }
 
-// Pace is an order to let a run work at a share of its speed.
+// Pace is an order to let a run work at a percentage of its full speed.
 type Pace struct {
 	Worker  outside.WorkerRef
 	Task    job.TaskID
@@ -46,7 +46,7 @@
 
 // Start is an order to start a run.
 type Start struct {
-	// Call tells the order from every other one of this owner.
+	// Call is the number of the order, unique for this owner.
 	Call   int64
 	Worker outside.WorkerRef
 	Order  outside.StartOrder
@@ -54,7 +54,7 @@
 
 // Stop is an order to stop a run.
 type Stop struct {
-	// Call tells the order from every other one of this owner.
+	// Call is the number of the order, unique for this owner.
 	Call   int64
 	Worker outside.WorkerRef
 	Task   job.TaskID
@@ -62,16 +62,16 @@
 	Fence  int64
 }
 
-// nextCall returns the number of another order. Its answer is taken in by whoever waits for
-// that number: one that comes after its worker has been given up, or has started again, says
-// nothing of the incarnation that is known by then.
+// nextCall returns the number of the next order. An answer counts only if its order's number is
+// still awaited: one that arrives after its worker was given up or has restarted says nothing about
+// the incarnation that is known by then.
 func (s *Shard) nextCall() int64 {
 	s.calls++
 	return s.calls
 }
 
-// answered returns the run that waits for the answer to an order, nil where none does any
-// more.
+// awaitingRun returns the run that awaits the answer to an order, and ends its wait; nil if no run
+// awaits it any more.
 func (s *Shard) answered(worker string, task job.TaskID, call int64) *run {
 	w, found := s.workers[worker]
 	if !found {
--- a/shard/crash.go
+++ b/shard/crash.go
@@ -11,25 +11,26 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-// trialAfter is how many looks in a row have to fail until what runs on a worker is on
-// trial there. One that crashed resets its connections, so that this takes some 100 ms;
-// an owner that dies in the meantime leaves nothing of the crash to its successor.
+// possibleCrashAfter is how many polls of a worker have to fail in a row before its tasks are
+// stored with a possible crash there. A crashed worker resets its connections, so that this takes
+// some 100 ms. If the owner dies before that, the next owner does not learn of the crash.
 const trialAfter = 2
 
-// Weights that keep tasks under which workers crashed apart, see weighSuspects.
+// Weights that keep suspects, tasks under which workers crashed, apart; see suspectWeight.
 const (
 	weightSuspects = 500.0
 
-	// A suspect among others, for each of them, and any other task beside a suspect: less
-	// than to run away from the data for a few of them, more for a full worker.
+	// weightPerBystander is added to a suspect's weight for each run on the worker, and
+	// weightBesideSuspect to any other task's beside a suspect. A few bystanders weigh less
+	// than running away from the data, a full worker weighs more.
 	weightBystander     = 30.0
 	weightBesideSuspect = 150.0
 )
 
-// loseWorker drops a worker whose life has ended without an order of ours. Where it
-// crashed, everything that may have run there is marked: what is not counted is started
-// without end, and takes a worker each time (two tasks took twelve workers with 176 runs
-// in eleven seconds).
+// workerLost drops a worker that ended without an order of this owner. If it crashed, the crash is
+// recorded for every task that may have run there. A task whose crashes are not counted starts
+// again and again and crashes a worker each time: two tasks once crashed twelve workers with
+// 176 runs in eleven seconds.
 func (s *Shard) loseWorker(w *workerState, now time.Time, reason string) {
 	crashed := w.loss().Crashed()
 	lost := s.lostTasks(w, now)
@@ -42,7 +43,7 @@
 	}
 }
 
-// loss returns what is known of the end of a worker.
+// loss returns what is known about the end of a worker.
 func (w *workerState) loss() suspect.Loss {
 	loss := suspect.Loss{
 		Draining: w.reg.Draining,
@@ -55,8 +56,8 @@
 	return loss
 }
 
-// lostTasks returns what runs on a worker, is on trial there, or may run there by the
-// word of the owner before, but for lasting tasks that are beyond doubt.
+// lostTasks returns the tasks that run on a worker, have a possible crash there, or may run there
+// according to the previous owner. It leaves out proven runs of long-running tasks, see isProven.
 func (s *Shard) lostTasks(w *workerState, now time.Time) map[job.TaskID]struct{} {
 	lost := make(map[job.TaskID]struct{})
 	for _, name := range s.trialsAt(w) {
@@ -71,7 +72,7 @@
 		return lost
 	}
 	for id := range w.mayRun {
-		// How long a lasting task has run is not known here.
+		// How long a long-running task of the previous owner has run is unknown.
 		if step, found := s.stepOf(id); found && !step.Lasting {
 			lost[id] = struct{}{}
 		}
@@ -79,8 +80,8 @@
 	return lost
 }
 
-// isProved reports whether a run has gone on for so long that its worker did not crash at
-// its start. One that was found has been listed by an earlier owner's time.
+// isProven reports whether a run has gone on for so long that its start did not crash the worker. A
+// run that was found on the worker counts as proven, because an earlier owner started it.
 func (r *run) isProved(now time.Time) bool {
 	last := now
 	if silent := r.worker.silentSince; !silent.IsZero() {
@@ -89,11 +90,11 @@
 	return r.found || last.Sub(r.began) > suspect.ProvedAfter
 }
 
-// mark notes that an incarnation of a worker crashed under a task, and gives the task up at
-// its limit. A worker counts with each incarnation: counted by its id, the only worker of a
-// pool, back a second after each crash, was crashed by one task 30 times in 40 s. The
-// job fails with it, unless the task lasts: the others of its step serve on, and to stop
-// them all breaks what may be missed of them.
+// recordCrash records that an incarnation of a worker crashed under a task. At suspect.CrashLimit
+// it gives the task up and fails the job. Each incarnation of a worker counts: when crashes were
+// counted by worker id, one task crashed the only worker of a pool, which was back a second after
+// each crash, 30 times in 40 s. The job of a long-running task does not fail: the other tasks of
+// the step go on, since stopping them all would exceed the step's limit of unavailable tasks.
 func (s *Shard) mark(id job.TaskID, worker string, now time.Time) {
 	j, t := s.openTask(id)
 	if t == nil {
@@ -116,7 +117,7 @@
 	}
 }
 
-// openTask returns a task that has not ended, and its job; nil where there is none.
+// openTask returns a task that has not ended, and its job; nil if there is none.
 func (s *Shard) openTask(id job.TaskID) (*jobState, *taskState) {
 	j := s.jobs[id.Job]
 	if j == nil || j.state.Final() {
@@ -129,9 +130,10 @@
 	return j, t
 }
 
-// try puts a task on trial on an incarnation of a worker: as long as nobody knows how its run
-// there ended, a successor counts the worker's crash against it as well. The row is written
-// beside the start and not before it, which takes some 20 ms.
+// addPossibleCrash records that an incarnation of a worker may have crashed under a task. While it
+// is unknown how the task's run there ended, a later owner counts the worker's crash against the
+// task as well. The row is written in parallel to the start and does not delay it, since a write
+// takes some 20 ms.
 func (s *Shard) try(id job.TaskID, worker string) {
 	j, t := s.openTask(id)
 	if t == nil {
@@ -142,6 +144,7 @@
 	s.watchTrial(id, worker)
 }
 
+// indexPossibleCrash adds a task's possible crash to the index by worker.
 func (s *Shard) watchTrial(id job.TaskID, worker string) {
 	if s.trials[worker] == nil {
 		s.trials[worker] = make(map[job.TaskID]struct{})
@@ -149,8 +152,8 @@
 	s.trials[worker][id] = struct{}{}
 }
 
-// trialsAt returns the names under which tasks are on trial at a worker. There may be two
-// of one incarnation: one that had not said yet when it began has its id for a name.
+// possibleCrashKeys returns the keys of Shard.possibleCrashes for a worker's incarnation. There may
+// be two: while the start time of an incarnation is unknown, its key is the worker's id alone.
 func (s *Shard) trialsAt(w *workerState) []string {
 	var names []string
 	for name := range s.trials {
@@ -161,14 +164,16 @@
 	return names
 }
 
-// acquit ends the trials of a task at a worker: it has not crashed under the task. The row
-// is written again, since a worker that is gone for another reason later would count.
+// clearPossibleCrash removes the possible crashes of a task on a worker, which did not crash under
+// it. The row is written again: otherwise a later end of the worker for another reason would count
+// against the task.
 func (s *Shard) acquit(id job.TaskID, w *workerState) {
 	for _, name := range s.trialsAt(w) {
 		s.acquitOf(id, name)
 	}
 }
 
+// removePossibleCrash removes the possible crash of a task under one key of a worker.
 func (s *Shard) acquitOf(id job.TaskID, worker string) {
 	if _, found := s.trials[worker][id]; !found {
 		return
@@ -183,7 +188,8 @@
 	}
 }
 
-// acquitAt ends the trials of tasks that don't run on a worker which answers or has ended.
+// clearStalePossibleCrashes removes the possible crashes of tasks that do not run on a worker which
+// answers or has ended.
 func (s *Shard) acquitAt(w *workerState) {
 	for _, name := range s.trialsAt(w) {
 		for id := range s.trials[name] {
@@ -194,9 +200,9 @@
 	}
 }
 
-// judgeForgotten marks the tasks on trial at workers that no row names any more, and at
-// incarnations of which a later one has answered: an earlier owner had taken note of their
-// end, or would have.
+// resolvePossibleCrashes turns possible crashes into recorded ones if the worker is unknown to this
+// owner or a later incarnation of it has answered. A possible crash that is still stored then was
+// not cleared by an earlier owner.
 func (s *Shard) judgeForgotten(now time.Time) {
 	for name, tasks := range s.trials {
 		if !s.isForgotten(outside.ParseIncarnation(name), now) {
@@ -212,8 +218,8 @@
 	}
 }
 
-// isForgotten reports whether an incarnation with tasks on trial has ended. That of a worker
-// that is not known is decided once this owner has heard of all that it is to know.
+// isPastIncarnation reports whether an incarnation with possible crashes has ended. An unknown
+// worker counts as ended once everything that earlier owners started has lapsed.
 func (s *Shard) isForgotten(trial outside.Incarnation, now time.Time) bool {
 	w, found := s.workers[trial.Worker]
 	if !found {
@@ -222,7 +228,7 @@
 	return w.known && !w.incarnation().Same(trial)
 }
 
-// clear forgets the marks of a lasting task that has run for long enough.
+// clear removes the recorded crashes of a long-running task once its run is proven.
 func (s *Shard) clear(r *run, t *taskState, j *jobState, now time.Time) {
 	if !t.crashed.Suspect() || !r.isProved(now) || !j.record.Spec.Steps[r.id.Step].Lasting {
 		return
@@ -234,12 +240,12 @@
 	s.opts.Report("crashes cleared", "task", r.id.String(), "worker", r.worker.reg.ID, "ran_ms", now.Sub(r.began).Milliseconds())
 }
 
-// isSuspect reports whether a worker has crashed under a task, or may have.
+// isSuspect reports whether a worker crashed, or may have crashed, under a task.
 func (t *taskState) isSuspect() bool {
 	return t.crashed.Suspect() || len(t.trials) > 0
 }
 
-// unsuspect takes a run out of those that others are to keep away from.
+// removeSuspect removes a run from its worker's counts of suspect and isolated runs.
 func (s *Shard) unsuspect(r *run) {
 	if r.suspect {
 		r.suspect = false
@@ -251,9 +257,10 @@
 	}
 }
 
-// held reports whether an idle task may not be started for now. It is given up; or it is
-// with one more crash, and a silent worker may have crashed under it; or its newest mark
-// does not stand in a row yet: while the store is away, each owner would start it anew.
+// isBlocked reports whether an idle task must not be started now. A task is blocked if it is given
+// up, or would be if its possible crashes turn out to be crashes, or if its newest crash is not
+// stored yet. If tasks with unstored crashes started while the store is unavailable, each new owner
+// would start them again.
 func (s *Shard) held(t *taskState) bool {
 	if t.crashed.GivenUp() {
 		return true
@@ -264,14 +271,14 @@
 	return s.done < t.markBatch && !s.allWritten()
 }
 
-// heldAny reports whether one of the tasks of a gang may not be started for now.
+// isAnyBlocked reports whether a task of a gang is blocked.
 func (s *Shard) heldAny(step *stepState) bool {
 	return slices.ContainsFunc(step.tasks, s.held)
 }
 
-// weighSuspects keeps tasks under which workers crashed apart, from each other most of
-// all, so that the next crash tells who did it and takes few with it. It is a weight and
-// no bar: where there is no room to be apart, a suspect waits for nothing.
+// suspectWeight returns the weight that keeps suspects apart from other tasks, and most of all from
+// each other, so that the next crash identifies its cause and hits few bystanders. It only ranks
+// workers: if no worker has resources for a suspect apart from others, the suspect starts anyway.
 func weighSuspects(w *workerState, t *taskState) float64 {
 	switch {
 	case t.isSuspect():
@@ -283,7 +290,7 @@
 	}
 }
 
-// watchTrials takes in the trials of a job that was read from rows.
+// indexPossibleCrashes indexes the possible crashes of a job that was read from its rows.
 func (s *Shard) watchTrials(j *jobState) {
 	for k, o := range j.occurrences {
 		for st, step := range o.steps {
--- a/shard/events.go
+++ b/shard/events.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// ackPause is how long a look waits for the write that lets its ends be
-	// acknowledged before it goes on without.
+	// maxAckWait is how long the next poll of a worker waits for the write after which the
+	// worker's ends may be acknowledged. After that the poll is sent without acknowledging them.
 	ackPause = 300 * time.Millisecond
 
-	// startTries is how often an unanswered start is sent before it is stopped
-	// instead; that of a lasting task, once a look shows that it isn't there.
+	// maxStartAttempts is how often a start without an answer is sent before the run is
+	// stopped instead. A long-running task is stopped only once a poll shows that it has not
+	// started.
 	startTries = 2
 )
 
-// Held takes in the answer to a look. sent is when the look was ordered. An answer that
-// nobody waits for any more is passed over: it came from an incarnation that has been given
-// up, and was taken for that of a newer one; what ran on the living one was started again
-// beside itself, in 10 of 15 delays of up to 1.5 s that were tried.
-func (s *Shard) Held(hold Hold, sent, now time.Time, glance outside.Glance, err error) {
-	id := hold.Worker.ID
+// Polled handles the answer to a poll that was ordered at sent. It ignores an answer that is no
+// longer awaited. Such an answer can come from an incarnation that was given up: attributed to the
+// newer one, it made the tasks that ran there start a second time elsewhere.
+func (s *Shard) Held(poll Hold, sent, now time.Time, glance outside.Glance, err error) {
+	id := poll.Worker.ID
 	w, found := s.workers[id]
-	if !found || w.look != hold.Call {
+	if !found || w.look != poll.Call {
 		s.opts.Report("late answer passed over", "worker", id, "sent_ms", now.Sub(sent).Milliseconds())
 		return
 	}
@@ -35,7 +35,7 @@
 		if now.Sub(sent) <= promptFailure {
 			w.silentAt = sent
 		}
-		s.holdFailed(w, hold, now, err)
+		s.holdFailed(w, poll, now, err)
 		return
 	}
 	if w.failures > 0 {
@@ -49,7 +49,7 @@
 		w.born = glance.Born
 	}
 	if w.named {
-		// It may stand in a row as one where nothing is started or renewed.
+		// A stored row may still name the worker as one where nothing is started or renewed.
 		w.regained = now
 		w.named = false
 	}
@@ -68,8 +68,8 @@
 	s.pace(w)
 }
 
-// holdFailed notes a look without an answer.
-func (s *Shard) holdFailed(w *workerState, hold Hold, now time.Time, err error) {
+// pollFailed handles a poll that failed.
+func (s *Shard) holdFailed(w *workerState, poll Hold, now time.Time, err error) {
 	var gone *outside.GoneError
 	if errors.As(err, &gone) {
 		s.loseWorker(w, now, "another worker answers")
@@ -77,7 +77,7 @@
 	}
 	var refused *outside.WorkerRefusedError
 	if errors.As(err, &refused) && refused.Reason == outside.RefusedFence {
-		if s.isOutdated(w.reg.ID, hold.Renewal.Fence) {
+		if s.isOutdated(w.reg.ID, poll.Renewal.Fence) {
 			w.holdAt = now
 			return
 		}
@@ -98,7 +98,7 @@
 	w.holdAt = now.Add(min(retryMost, retryFirst*time.Duration(w.failures)))
 }
 
-// compare brings the runs of a worker in line with what it listed.
+// reconcile updates the known runs of a worker from the runs that it listed.
 func (s *Shard) compare(w *workerState, sent, now time.Time, listed []outside.RunningTask) {
 	present := make(map[job.TaskID]int64, len(listed))
 	for _, running := range listed {
@@ -111,18 +111,19 @@
 		}
 		switch {
 		case r.phase == phaseDoubtful && r.call == 0 && r.tries >= startTries && !sent.Before(r.doubted):
-			// Stopped unseen, it ended tasks that were at work, more of a step than it may miss.
+			// The stop waits until a poll has shown that the run is missing: without that,
+			// stops ended available tasks, more of a step than may be unavailable.
 			s.stop(r, reasonNoAnswer)
 			r.notThere = true
 		case r.phase == phaseRunning && sent.After(r.settled),
 			r.phase == phaseStopped && sent.After(r.settled.Add(s.opts.StopTask)):
-			s.reportRun("run vanished", id, r.number, w, "acknowledged", w.acked)
+			s.reportRun("run missing from poll", id, r.number, w, "acknowledged", w.acked)
 			s.drop(r, now)
 		}
 	}
 }
 
-// compareOne takes in one run that a worker listed.
+// reconcileRun updates or adds one run that a worker listed.
 func (s *Shard) compareOne(w *workerState, sent, now time.Time, running outside.RunningTask) {
 	r, found := w.runs[running.Task]
 	if found && r.number != running.Run {
@@ -148,7 +149,7 @@
 			r.phase = phaseRunning
 			r.settled = now
 		case r.phase == phaseStopping && r.notThere:
-			// It has begun after all, before its stop was answered.
+			// The run has started after all, before its stop was answered.
 			r.spared = true
 		case r.phase == phaseStopped && sent.After(r.settled.Add(s.opts.StopTask+foundSlack)):
 			s.stopAgain(r)
@@ -180,7 +181,8 @@
 	s.reportRun("run found", running.Task, running.Run, w, "job_known", j != nil, "wanted", wanted, "percent", running.Percent)
 }
 
-// taskOf returns a task, building its occurrence where an earlier owner had.
+// findOrBuildTask returns a task of a job; nil if the job has none with that id. It builds the
+// task's occurrence if only an earlier owner had begun it.
 func (s *Shard) taskOf(j *jobState, id job.TaskID) *taskState {
 	step := j.step(id.Occurrence, id.Step)
 	if step == nil || id.Index >= len(step.tasks) {
@@ -189,7 +191,8 @@
 	return step.tasks[id.Index]
 }
 
-// attach notes that a run takes room on its worker and serves its task.
+// attachRun adds a run to its worker, its task and the quota usage of its organisation. j and t are
+// nil if its job is unknown.
 func (s *Shard) attach(r *run, j *jobState, t *taskState) {
 	r.worker.runs[r.id] = r
 	r.worker.used = r.worker.used.Add(r.charge)
@@ -216,7 +219,7 @@
 	s.begin(j)
 }
 
-// begin notes that a task of the job has started.
+// markStarted records that a task of the job has started.
 func (s *Shard) begin(j *jobState) {
 	if j.begun {
 		return
@@ -229,7 +232,8 @@
 	}
 }
 
-// countPending adds to the count of jobs of the route that have not begun.
+// addPending adds by to the number of jobs of the route that have not begun. Repeated jobs don't
+// count.
 func (s *Shard) countPending(j *jobState, by int) {
 	if j.record.Spec.Repeats > 0 {
 		return
@@ -237,8 +241,7 @@
 	s.pending[j.record.Route] += by
 }
 
-// drop ends a run at its worker and makes its task idle where nothing else
-// runs it.
+// dropRun removes a run from its worker and makes its task idle if the task has no other run.
 func (s *Shard) drop(r *run, now time.Time) {
 	if r.worker.runs[r.id] != r {
 		return
@@ -278,7 +281,7 @@
 	}
 }
 
-// ended takes in one end.
+// handleEnd handles the end of a run that a worker listed.
 func (s *Shard) ended(w *workerState, end outside.End, now time.Time) {
 	j := s.knownJob(end.Task.Job)
 	var t *taskState
@@ -311,7 +314,7 @@
 	}
 }
 
-// taskDone notes that a task ended well.
+// taskDone records that a task completed successfully.
 func (s *Shard) taskDone(j *jobState, id job.TaskID, now time.Time) {
 	if j.record.Spec.Steps[id.Step].Lasting {
 		return
@@ -320,7 +323,7 @@
 	step := o.steps[id.Step]
 	first, last := id.Index, id.Index
 	if j.record.Spec.Steps[id.Step].Gang {
-		// The members of a gang end together; one such end counts for all.
+		// The members of a gang end together, so that the end of one counts for all.
 		first, last = 0, len(step.tasks)-1
 	}
 	changed := false
@@ -350,8 +353,8 @@
 	}
 }
 
-// taskFailed counts a failed run, once, and gives the job up when the task has
-// used its attempts.
+// taskFailed counts a failed run once, and fails the job when the task has used its attempts. The
+// failures of long-running tasks don't count.
 func (s *Shard) taskFailed(j *jobState, t *taskState, w *workerState, end outside.End, now time.Time) {
 	w.blamed++
 	t.avoid = append(t.avoid, w.incarnation())
@@ -371,7 +374,7 @@
 	}
 }
 
-// finishJob gives a job its final state. What still runs of it is stopped.
+// finishJob sets the final state of a job and stops its remaining runs.
 func (s *Shard) finishJob(j *jobState, state job.State, now time.Time) {
 	if !j.begun {
 		s.countPending(j, -1)
--- a/shard/away.go
+++ b/shard/eviction.go
@@ -6,14 +6,14 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// moveOffDraining stops lasting tasks on workers that drain or are closed, as their steps can
-// spare them, so that they start elsewhere before the worker ends. Shortly before a draining
-// worker does, it stops all of them, which end with it otherwise, and tasks that save their
-// progress.
+// moveOffDraining stops long-running tasks on draining, closed and reserved workers, so that they
+// start elsewhere, at most as many at once as their steps may have unavailable. Shortly before a
+// draining worker ends, it stops all of its long-running tasks, which would end with it, and the
+// tasks that save checkpoints.
 func (s *Shard) moveOffDraining(now time.Time) {
 	for _, w := range s.workers {
-		// A worker that is kept for a task that is to run alone is to be emptied as well: a
-		// lasting task on it would keep that task waiting for as long as suspect.AloneWait.
+		// A worker that is reserved for an isolated task must empty as well: a long-running
+		// task on it would keep the isolated task waiting for all of suspect.AloneWait.
 		closed := now.Before(w.closedUntil) || now.Before(w.keptUntil)
 		draining := w.drains()
 		if len(w.runs) == 0 || (!draining && !closed) {
@@ -35,31 +35,31 @@
 	}
 }
 
-// drains reports whether this incarnation of the worker has announced its end: a row may still
-// be that of the one before.
+// isDraining reports whether this incarnation of the worker has announced its end. The
+// registration may still be that of the previous incarnation.
 func (w *workerState) drains() bool {
 	return w.reg.Draining && !w.isOther(w.reg.Born)
 }
 
-// maySendAway reports whether a lasting task may be stopped now: fewer of the
-// others of its step than it may miss are away, and other workers have room for it
-// beside those of its step that look for some already.
+// mayEvict reports whether a long-running task may be stopped now: its step may have one more task
+// unavailable, and other workers have resources for it and for the tasks of the step that need
+// a worker already.
 func (s *Shard) maySendAway(id job.TaskID, spec *job.Step, now time.Time) bool {
 	step := s.jobs[id.Job].occurrences[id.Occurrence].steps[id.Step]
 	return s.canSpare(id, spec) && s.places(id, spec, now) > step.seeking()
 }
 
-// sendAway asks for the end of a lasting task whose worker is wanted elsewhere, for as long as
-// its step can spare it.
+// evict stops a run of a long-running task so that its worker empties. The stop is not repeated
+// while the step may have no more tasks unavailable, see holdsBackStop.
 func (s *Shard) sendAway(r *run) {
-	s.stop(r, "worker to be emptied")
+	s.stop(r, "worker is being emptied")
 	r.spared = true
 }
 
-// holdsBack reports whether a stop without success is not to be repeated now, because the step
-// of its task can't spare it any more. The run counts as being stopped all the while: the stop
-// may yet be carried out, and a step that took it for at work sent another task away beside it.
-// Once it can't be any more, the run goes on.
+// holdsBackStop reports whether the failed stop of an evicted run must not be repeated now, because
+// its step may have no more tasks unavailable. The run still counts as stopping, since the earlier
+// stop may yet take effect: if the run counted as available, another task of the step would be
+// evicted as well. Once that stop can no longer take effect, the run counts as running again.
 func (s *Shard) holdsBack(r *run, now time.Time) bool {
 	if !r.spared || r.tries == 0 {
 		return false
@@ -81,29 +81,31 @@
 	return true
 }
 
-// canSpare reports whether fewer of the others of a task's step are away than it may miss.
+// canDisrupt reports whether a step may have one of its tasks unavailable, given how many of its
+// other tasks are.
 func (s *Shard) canSpare(id job.TaskID, spec *job.Step) bool {
 	away, known := s.othersAway(id)
 	return known && spares(spec, away)
 }
 
-// spares reports whether a step may miss one more task while so many of it are away.
+// allowsDisruption reports whether a step may have one more task unavailable, given how many are.
 func spares(spec *job.Step, away int) bool {
 	return away < max(1, spec.MayMiss) && (!spec.HasMayMiss || away < spec.MayMiss)
 }
 
-// away returns how many tasks of a step are not at work, the one with the given index left out.
+// unavailable returns how many tasks of a step are unavailable, without the one at index.
 func (s *Shard) away(step *stepState, index int) int {
-	away := 0
+	unavailable := 0
 	for i, t := range step.tasks {
 		if i != index && !s.atWork(t) {
-			away++
+			unavailable++
 		}
 	}
-	return away
+	return unavailable
 }
 
-// places returns how many tasks of a step other workers could take now.
+// countPlacements returns how many tasks of a step the workers could start now. It counts up to
+// Step.Count or Step.PerWorker tasks for each worker.
 func (s *Shard) places(id job.TaskID, spec *job.Step, now time.Time) int {
 	c := newCandidate(id, spec, s.jobs[id.Job].task(id))
 	sum := 0
@@ -124,8 +126,8 @@
 	return sum
 }
 
-// stuck returns how many tasks of the step have been without a worker for long: not
-// every instance that is counted takes tasks.
+// stuck returns how many tasks of the step are stuck. Tasks can be stuck although there seem
+// to be enough instances, because not every instance that is counted accepts tasks.
 func (s *stepState) stuck(now time.Time) int {
 	count := 0
 	for _, index := range s.idle {
@@ -136,12 +138,13 @@
 	return count
 }
 
-// isStuck reports whether a task that has run has been without a worker for long.
+// isStuck reports whether a task that has run before has had no worker for at least stuckAfter.
 func (t *taskState) isStuck(now time.Time) bool {
 	return len(t.runs) == 0 && !t.idleSince.IsZero() && now.Sub(t.idleSince) >= stuckAfter
 }
 
-// seeking returns how many tasks of the step have no worker, or lose theirs.
+// countSeeking returns how many tasks of the step need a worker: those that have none and those
+// whose only run is being stopped.
 func (s *stepState) seeking() int {
 	count := len(s.idle)
 	for _, t := range s.tasks {
@@ -152,10 +155,10 @@
 	return count
 }
 
-// atWork reports whether a lasting task is known to be fully at work.
+// isAvailable reports whether a long-running task has a run that is known to work at full capacity.
 func (s *Shard) atWork(t *taskState) bool {
 	for _, r := range t.runs {
-		// What runs on a worker that does not answer may long have ended.
+		// A run on a worker that does not answer may have ended long ago.
 		reached := r.worker.failures == 0 && r.worker.doubted.IsZero()
 		if r.phase == phaseRunning && r.percent >= fullPercent && reached && !s.mayBeStopping(r) {
 			return true
@@ -164,8 +167,8 @@
 	return false
 }
 
-// mayBeStopping reports whether the owner before may have stopped a run: the
-// worker lists it until the stop is through.
+// mayBeStopping reports whether the previous owner may have ordered a stop of the run. The worker
+// lists the run until it has stopped.
 func (s *Shard) mayBeStopping(r *run) bool {
 	return r.found && r.listed.Sub(r.began) < s.opts.StopTask+foundSlack
 }
--- a/shard/alone.go
+++ b/shard/isolation.go
@@ -8,14 +8,16 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-// keepFor is how long a worker is kept empty for a task that is to run alone, from the
-// last look at what may start: several of the pauses between two looks.
+// reservationTimeout is how long a worker stays reserved for an isolated task after the last
+// placement that reserved it. It spans several placements.
 const keepFor = 2 * time.Second
 
-// aloneTask is an idle task that is to run alone.
+// isolatedTask is an idle task that must share its worker with no other, because workers crashed
+// under it.
 type aloneTask struct {
 	group group
 	index int
+	// waitingSince is when the task began to wait for an empty worker; zero if it does not wait.
 	since time.Time
 }
 
@@ -24,12 +26,11 @@
 	return a.group.job.occurrences[a.group.occurrence].steps[a.group.step].tasks[a.index]
 }
 
-// placeAlone starts the tasks that are to run alone, those that have waited longest first. It
-// comes after everything else, which takes no worker that is kept for them: before it, served
-// fell from 0.739 to 0.715 of what is owed and failed rose from 0.134 to 0.165 (means of 12
-// plays of a day on which a quarter of two queues crash workers).
-func (s *Shard) placeAlone(groups []group, blind blindness, now time.Time) {
-	for _, a := range s.aloneTasks(groups, blind) {
+// placeIsolated starts isolated tasks, those that have waited longest first. It runs after all
+// other tasks are placed, which don't use reserved workers: placing isolated tasks first serves
+// less work in time and fails more jobs when many tasks crash their workers.
+func (s *Shard) placeAlone(groups []group, unobserved blindness, now time.Time) {
+	for _, a := range s.aloneTasks(groups, unobserved) {
 		if !s.mayPlace(a.group, now) {
 			continue
 		}
@@ -54,9 +55,9 @@
 	}
 }
 
-// aloneTasks returns the idle tasks that are to run alone and may start, the oldest first.
-// Members of a gang start with it.
-func (s *Shard) aloneTasks(groups []group, blind blindness) []aloneTask {
+// isolatedTasks returns the idle isolated tasks that may start, the longest wait first. It
+// leaves out members of a gang, which start with their gang.
+func (s *Shard) aloneTasks(groups []group, unobserved blindness) []aloneTask {
 	var list []aloneTask
 	for _, g := range groups {
 		step := g.job.occurrences[g.occurrence].steps[g.step]
@@ -65,7 +66,7 @@
 		}
 		for _, index := range step.idle {
 			t := step.tasks[index]
-			if t.crashed.Alone() && !s.held(t) && !blind.hides(g.task(index)) {
+			if t.crashed.Alone() && !s.held(t) && !unobserved.hides(g.task(index)) {
 				list = append(list, aloneTask{
 					group: g,
 					index: index,
@@ -80,7 +81,8 @@
 	return list
 }
 
-// isOlder orders waits by their beginning; those that have not begun come last.
+// hasWaitedLonger reports whether a task began to wait before another one. A task that does not
+// wait yet comes last.
 func (a aloneTask) isOlder(than aloneTask) bool {
 	if a.since.IsZero() || than.since.IsZero() {
 		return !a.since.IsZero() && than.since.IsZero()
@@ -88,14 +90,15 @@
 	return a.since.Before(than.since)
 }
 
-// waitAlone notes that a task waits for a worker of its own.
+// beginIsolationWait records that an isolated task waits for a worker, unless it waits already.
 func (t *taskState) waitAlone(now time.Time) {
 	if t.aloneSince.IsZero() {
 		t.aloneSince = now
 	}
 }
 
-// endWait notes that a task starts, and logs the end of its wait for a worker of its own.
+// endIsolationWait ends the wait of a task that starts for an empty worker, and logs it if there
+// was one.
 func (s *Shard) endWait(id job.TaskID, t *taskState, w *workerState, now time.Time) {
 	if !t.aloneSince.IsZero() && t.aloneSince.Before(now) {
 		s.opts.Report("suspect waits no more", "task", id.String(), "worker", w.reg.ID, "waited_ms", now.Sub(t.aloneSince).Milliseconds(),
@@ -105,8 +108,8 @@
 	t.toldWaits = false
 }
 
-// waitsTooLong reports whether a task has waited for a worker of its own for so long that it
-// joins others.
+// isolationWaitExpired reports whether an isolated task has waited for an empty worker for so
+// long that it may start beside other tasks.
 func (t *taskState) waitsTooLong(lasting bool, now time.Time) bool {
 	most := suspect.AloneWait
 	if lasting {
@@ -115,9 +118,9 @@
 	return !t.aloneSince.IsZero() && now.Sub(t.aloneSince) >= most
 }
 
-// admits reports whether a task may join what runs on a worker: one that is to be alone
-// starts on an empty worker, unless it has waited too long for one, and nothing joins it or
-// takes a worker that is kept for it.
+// allowsSharing reports whether a task may start beside the runs of a worker. An isolated task
+// needs an empty worker unless its wait has expired. No task starts beside an isolated one, and
+// only isolated tasks start on a reserved worker.
 func (s *Shard) admits(w *workerState, c candidate, now time.Time) bool {
 	if w.alone > 0 {
 		return false
@@ -128,8 +131,9 @@
 	return !now.Before(w.keptUntil)
 }
 
-// keep empties a worker for a task that is to run alone and found none, as far as the
-// share of workers goes that may be kept so. What waits for the share is told once.
+// reserveWorker reserves a worker for an isolated task that found no empty one: nothing else
+// starts there, so that it empties. If no more workers may be reserved, the task waits, which is
+// logged once per wait.
 func (s *Shard) keep(id job.TaskID, spec *job.Step, t *taskState, now time.Time) {
 	c := newCandidate(id, spec, t)
 	c.emptied = true
@@ -161,9 +165,9 @@
 	best.keptUntil = now.Add(keepFor)
 }
 
-// emptiesSooner reports whether a worker is better kept than another, nil for none: one
-// without lasting tasks, which end only if they are moved, then one that is kept already,
-// then the one with fewest runs.
+// isBetterReservation reports whether it is better to reserve w than another worker, which may be
+// nil. It prefers workers without long-running tasks, which end only if they are moved, then
+// workers that are reserved already, then those with the fewest runs.
 func (s *Shard) emptiesSooner(w, than *workerState, now time.Time) bool {
 	if than == nil {
 		return true
@@ -180,6 +184,7 @@
 	return w.reg.ID < than.reg.ID
 }
 
+// hasLongRunning reports whether a long-running task runs on a worker.
 func (s *Shard) holdsLasting(w *workerState) bool {
 	for id := range w.runs {
 		if s.isLasting(id) {
