--- a/shard/fence.go
+++ b/shard/fence.go
@@ -1,38 +1,38 @@
 package shard
 
-// fencesPerEpoch is the room of fences of one owner at one worker. A later owner starts above
-// it.
+// fencesPerEpoch is the number of fences that one owner may use at a worker. The fences of the
+// next owner start above them.
 const fencesPerEpoch = 1 << 12
 
-// fenceAt returns the fence of the orders to a worker.
+// fenceAt returns the fence for orders to a worker.
 func (s *Shard) fenceAt(worker string) int64 {
 	return s.epoch*fencesPerEpoch + s.raised[worker]
 }
 
-// raiseFence makes a worker that was silent refuse, once it hears of a later order, the starts that
-// got no answer or are under way. Its next incarnation knows of no stop: it would begin a run that
-// was started elsewhere meanwhile, before it can be told to stop it.
+// raiseFence raises the fence of a silent worker if starts are unanswered or in flight there. The
+// worker refuses these starts once it has received an order with the new fence. Otherwise its next
+// incarnation, which knows of no stop, could begin a run that has been started elsewhere meanwhile.
 func (s *Shard) raiseFence(w *workerState) {
 	fence := s.fenceAt(w.reg.ID)
 	outstanding := false
 	for _, r := range w.runs {
 		outstanding = outstanding || (r.order.Fence == fence && (r.unanswered || r.isBeingStarted()))
 	}
-	for _, one := range s.unanswered[w.reg.ID] {
-		outstanding = outstanding || one.run.order.Fence == fence
+	for _, start := range s.unanswered[w.reg.ID] {
+		outstanding = outstanding || start.run.order.Fence == fence
 	}
 	if outstanding && s.raised[w.reg.ID] < fencesPerEpoch-1 {
 		s.raised[w.reg.ID]++
 	}
 }
 
-// isOutdated reports whether the fence of an order to a worker has been raised since: that the
-// worker refuses it tells of no newer owner.
+// isStaleFence reports whether the worker's fence has been raised since an order with the given
+// fence was sent. If the worker refuses such an order, that does not indicate a newer owner.
 func (s *Shard) isOutdated(worker string, fence int64) bool {
 	return fence < s.fenceAt(worker)
 }
 
-// isBeingStarted reports whether an order to start the run is under way.
+// isStartInFlight reports whether an order to start the run is in flight.
 func (r *run) isBeingStarted() bool {
 	return r.call != 0 && (r.phase == phaseStarting || r.phase == phaseDoubtful)
 }
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -7,25 +7,26 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// gangFit is the choice of a worker for each task of a gang, as far as it has come.
+// gangAssignment assigns the tasks of a gang to workers, one task at a time.
 type gangFit struct {
 	shard *Shard
 	group group
 	step  *stepState
 	spec  *job.Step
 
-	// rack is where all are to run; empty for anywhere.
+	// rack is the rack in which all tasks must run; empty for any.
 	rack string
 
-	// chosen maps a task's index to its worker; members counts those on a worker, suspects
-	// those of them that are, and alone holds the workers that one has for itself.
+	// chosen maps the index of a task to its worker. memberCount counts the tasks assigned to
+	// each worker, and suspectCount the suspect ones among them. dedicated holds the workers
+	// that were assigned to an isolated task.
 	chosen   map[int]*workerState
 	members  map[*workerState]int
 	suspects map[*workerState]int
 	alone    map[*workerState]bool
 }
 
-// placeGang starts all tasks of a step at once or none of them.
+// placeGang starts either all tasks of a step or none.
 func (s *Shard) placeGang(g group, step *stepState, spec *job.Step, now time.Time) {
 	if len(step.idle) < step.left || s.heldAny(step) {
 		return
@@ -63,26 +64,26 @@
 	s.keepForGang(g, step, spec, now)
 }
 
-// keepForGang empties a worker for the first task of a gang that is to run alone. All that are
-// wait from then on.
+// reserveForGang reserves a worker for the first isolated task of a gang. The wait of all isolated
+// tasks of the gang begins now.
 func (s *Shard) keepForGang(g group, step *stepState, spec *job.Step, now time.Time) {
-	kept := false
+	reserved := false
 	for _, index := range step.idle {
 		t := step.tasks[index]
 		if !t.crashed.Alone() {
 			continue
 		}
 		t.waitAlone(now)
-		if !kept {
+		if !reserved {
 			s.keep(g.task(index), spec, t, now)
-			kept = true
+			reserved = true
 		}
 	}
 }
 
-// fitGang returns a worker for each idle task of a step, or nil.
+// assignGang returns a worker for each idle task of a step, or nil if one task finds none.
 func (s *Shard) fitGang(g group, step *stepState, spec *job.Step, rack string, now time.Time) map[int]*workerState {
-	f := &gangFit{
+	a := &gangFit{
 		shard:    s,
 		group:    g,
 		step:     step,
@@ -94,59 +95,60 @@
 		alone:    make(map[*workerState]bool),
 	}
 	for _, index := range step.idle {
-		if !f.choose(index, now) {
+		if !a.choose(index, now) {
 			return nil
 		}
 	}
-	return f.chosen
+	return a.chosen
 }
 
-// choose takes the best worker for one more task; false where there is none.
-func (f *gangFit) choose(index int, now time.Time) bool {
-	t := f.step.tasks[index]
+// assign gives one more task the best worker and reports whether there is one.
+func (a *gangFit) choose(index int, now time.Time) bool {
+	t := a.step.tasks[index]
 	var best *workerState
-	least := 0.0
-	for _, w := range f.shard.workers {
-		if !f.takes(w, index, now) {
+	minWeight := 0.0
+	for _, w := range a.shard.workers {
+		if !a.takes(w, index, now) {
 			continue
 		}
-		weight := f.shard.weigh(w, f.spec, t)
+		weight := a.shard.weigh(w, a.spec, t)
 		if t.isSuspect() {
-			weight += weightSuspects * float64(f.suspects[w])
+			weight += weightSuspects * float64(a.suspects[w])
 		}
-		if best == nil || weight < least {
+		if best == nil || weight < minWeight {
 			best = w
-			least = weight
+			minWeight = weight
 		}
 	}
 	if best == nil {
 		return false
 	}
-	f.chosen[index] = best
-	f.members[best]++
+	a.chosen[index] = best
+	a.members[best]++
 	if t.isSuspect() {
-		f.suspects[best]++
+		a.suspects[best]++
 	}
-	f.alone[best] = t.crashed.Alone()
+	a.alone[best] = t.crashed.Alone()
 	return true
 }
 
-// takes reports whether a worker can run one more task of the gang.
-func (f *gangFit) takes(w *workerState, index int, now time.Time) bool {
-	t := f.step.tasks[index]
-	c := newCandidate(f.group.task(index), f.spec, t)
-	if f.shard.refuses(w, c, now) != takes {
+// eligible reports whether a worker can run one more task of the gang.
+func (a *gangFit) takes(w *workerState, index int, now time.Time) bool {
+	t := a.step.tasks[index]
+	c := newCandidate(a.group.task(index), a.spec, t)
+	if a.shard.refuses(w, c, now) != takes {
 		return false
 	}
-	if f.alone[w] || (t.crashed.Alone() && f.members[w] > 0) || (f.rack != "" && w.reg.Rack != f.rack) {
+	if a.alone[w] || (t.crashed.Alone() && a.members[w] > 0) || (a.rack != "" && w.reg.Rack != a.rack) {
 		return false
 	}
-	if f.spec.PerWorker > 0 && f.members[w]+w.onStep(c.id) >= f.spec.PerWorker {
+	if a.spec.PerWorker > 0 && a.members[w]+w.onStep(c.id) >= a.spec.PerWorker {
 		return false
 	}
-	return w.free().Sub(times(f.spec.Charge(), f.members[w])).Fits(f.spec.Charge())
+	return w.free().Sub(times(a.spec.Charge(), a.members[w])).Fits(a.spec.Charge())
 }
 
+// racks returns the racks of all workers in sorted order.
 func (s *Shard) racks() []string {
 	seen := make(map[string]bool)
 	for _, w := range s.workers {
--- a/shard/handover.go
+++ b/shard/handover.go
@@ -9,57 +9,55 @@
 )
 
 const (
-	// workerBytes is what one worker takes in a row beside the names, at most: the
-	// keys and lengths of its fields, and the time.
+	// workerRowBytes is the maximum size in bytes of one worker in a row, without names: the keys
+	// and lengths of its fields, and the time.
 	workerBytes = 24
 
-	// taskBytes is what the name of a task takes beside its text.
+	// taskRowBytes is the overhead in bytes of a task's name in a row.
 	taskBytes = 3
 )
 
-// Handover is what an owner tells its successor of the workers that the successor
-// may not reach. What it does not name may run anything for as long as BlindFor
-// says. All of it holds from when it was made, whatever happens later, until the
-// same owner has written another one.
+// Handover is what an owner tells its successor about workers that the successor may be unable to
+// reach. A worker that is not listed may run anything until its leases from earlier owners have
+// expired. A handover is valid from when it was made until the same owner writes the next one.
 type Handover struct {
-	// Idle names workers on which nothing runs for sure, nor will by an order of
-	// this owner or one before. Every end there that counts stands in a row.
+	// Idle lists workers that certainly run nothing and on which no order of this owner or an
+	// earlier one will start anything. Every end there that matters is stored in a row.
 	Idle []string
 
-	// Leased holds workers on which something may run.
+	// Leased lists workers on which something may run.
 	Leased []Leased
 
-	// Blind is for how long after the handover was made a worker that it does not name
-	// may run what an owner before this one started: that may live longer than this
-	// owner does. It only shrinks.
+	// UnobservedFor is how long, counted from when the handover was made, a worker that is not
+	// listed may run what an owner earlier than this one started. Such runs may outlive this
+	// owner. The value only decreases from one handover to the next.
 	Blind time.Duration
 }
 
-// Leased is what may run on one worker.
+// Leased is a worker on which something may run, with what may run there and for how long.
 type Leased struct {
 	Worker string
 
-	// Left is how long after the handover was made it may run at the most: a span
-	// and not an instant, since the clocks of entries differ. It only shrinks.
+	// Remaining is the longest time that the tasks may run, counted from when the handover was
+	// made. It is a duration because the clocks of entries differ. It only decreases.
 	Left time.Duration
 
-	// Unknown says that it may be any task that an earlier owner knew of; otherwise
-	// Tasks holds all that it may be.
+	// AnyTask means that the worker may run any task known to an earlier owner. Otherwise Tasks
+	// lists all tasks that it may run.
 	Unknown bool
 	Tasks   []job.TaskID
 }
 
-// HandOver returns what a successor has to know of the workers, in a row of at most
-// the given number of bytes. last says that this owner gives no order any more and
-// that every end that it has taken in stands in a row with the handover. Otherwise
-// only silent workers are named, on which it starts and renews nothing: before one
-// that answers again is used, a transaction has to be applied that no longer names
-// it.
-func (s *Shard) HandOver(now time.Time, last bool, most int) Handover {
+// BuildHandover returns what a successor must know about the workers, in a row of at most maxBytes
+// bytes. final means that this owner gives no more orders and that every end it has processed is
+// stored together with the handover. Otherwise only silent workers are listed, on which this owner
+// starts and renews nothing. A listed worker that answers again is used only after a transaction
+// that no longer lists it has been applied.
+func (s *Shard) HandOver(now time.Time, final bool, maxBytes int) Handover {
 	var all []Leased
 	for id, w := range s.workers {
 		switch {
-		case last && w.recorded:
+		case final && w.recorded:
 			all = append(all, w.leased(id, now))
 		case w.lapsed(now):
 			w.named = true
@@ -76,18 +74,18 @@
 			Worker: id,
 		})
 	}
-	h := cut(all, most)
+	h := cut(all, maxBytes)
 	h.Blind = max(0, s.blindUntil.Sub(now))
 	return h
 }
 
-// leased returns what may run on a worker.
+// leased returns what may run on the worker.
 func (w *workerState) leased(id string, now time.Time) Leased {
 	l := Leased{
 		Worker: id,
 	}
 	if !w.known {
-		// This owner has started and renewed nothing there.
+		// This owner has not started or renewed anything there.
 		l.Left = max(0, w.blindUntil.Sub(now))
 		l.Unknown = w.mayRun == nil
 		for task := range w.mayRun {
@@ -103,9 +101,10 @@
 	return l
 }
 
-// cut keeps what fits into a row: first the workers that run nothing, then those
-// with few tasks. Workers that are left out are waited for as if nothing were known.
-func cut(all []Leased, most int) Handover {
+// truncateHandover keeps the workers that fit into maxBytes, the smallest first: those that run
+// nothing, then those with few tasks. A successor treats an omitted worker as one that may run
+// anything.
+func cut(all []Leased, maxBytes int) Handover {
 	var h Handover
 	sizes := make(map[string]int, len(all))
 	for _, l := range all {
@@ -118,7 +117,7 @@
 		return all[a].Worker < all[b].Worker
 	})
 	for _, l := range all {
-		if most -= sizes[l.Worker]; most < 0 {
+		if maxBytes -= sizes[l.Worker]; maxBytes < 0 {
 			break
 		}
 		if l.empty() {
@@ -131,12 +130,12 @@
 	return h
 }
 
-// empty reports whether nothing can run.
+// isIdle reports whether nothing can run on the worker.
 func (l Leased) empty() bool {
 	return l.Left == 0 || (!l.Unknown && len(l.Tasks) == 0)
 }
 
-// size returns how many bytes of a row the worker takes at the most.
+// size returns the maximum number of bytes that the worker takes in a row.
 func (l Leased) size() int {
 	size := workerBytes + len(l.Worker)
 	if l.empty() {
@@ -148,10 +147,10 @@
 	return size
 }
 
-// Inherit takes in what the owner before has handed over. read is when it was read:
-// what is left of its spans counts from then at the earliest. The row of this owner's
-// claim passes it on, so that it is lost to nobody if this owner never writes: until
-// the first transaction, nothing is started or renewed.
+// ApplyHandover applies the handover of the previous owner. read is when it was read; its durations
+// are counted from then, which is safe because it was made earlier. The row with which this owner
+// claimed the shard repeats the handover, so that it is not lost if this owner never writes.
+// Nothing is therefore started or renewed before this owner's first transaction.
 func (s *Shard) Inherit(h Handover, read time.Time) {
 	for _, id := range h.Idle {
 		s.idle[id] = true
@@ -160,15 +159,15 @@
 		s.leased[l.Worker] = l
 	}
 	s.handedAt = read
-	// BlindFor knows of the owner just before only.
+	// The limit set at the takeover covers the immediately preceding owner only.
 	if until := read.Add(drifted(h.Blind)); until.After(s.blindUntil) {
 		s.blindUntil = until
 	}
 	s.passedOn = len(h.Idle)+len(h.Leased) > 0
 }
 
-// InheritWorker takes in a worker that the owner before may have given tasks. It
-// is looked at whether or not it is registered.
+// RestoreWorker adds a worker to which the previous owner may have assigned tasks. It is polled
+// whether or not it is registered.
 func (s *Shard) InheritWorker(ref outside.WorkerRef, now time.Time) {
 	w := s.newWorker(ref.ID, now)
 	w.reg = outside.Registration{
@@ -186,7 +185,8 @@
 	if !found {
 		return
 	}
-	// This may be longer than BlindFor, which knows of the owner just before only.
+	// This may exceed the limit set at the takeover, which covers the immediately preceding owner
+	// only.
 	w.blindUntil = s.handedAt.Add(drifted(l.Left))
 	if l.Unknown {
 		return
@@ -197,23 +197,23 @@
 	}
 }
 
-// drifted returns how long another entry's span may take by this one's clock: the clocks
-// of entries need not agree better than ours with a worker's.
+// withClockDrift returns the longest time that a duration measured by another entry may take on
+// this entry's clock. Clocks of entries may differ by as much as those of an entry and a worker.
 func drifted(span time.Duration) time.Duration {
 	return time.Duration(float64(span) * (1 + clockDrift))
 }
 
-// blindness is what may run somewhere without this owner having seen it.
+// unobservedTasks are the tasks that may run somewhere without this owner having observed them.
 type blindness struct {
-	// all says that it may be any task that an earlier owner knew of; otherwise
-	// tasks holds what it may be.
+	// all means that any task known to an earlier owner may run. Otherwise tasks lists those
+	// that may.
 	all   bool
 	tasks map[job.TaskID]struct{}
 }
 
-// blind returns what workers may still run that an earlier owner started there
-// without this one having seen it. The standby part may hold what an earlier owner
-// wrote, as long as it is not read.
+// unobserved returns the tasks that workers may still run because an earlier owner started them,
+// and that this owner has not observed. Until the standby part is read, it may hold jobs that only
+// an earlier owner knew, so that any task may run.
 func (s *Shard) blind(now time.Time) blindness {
 	if s.standbyUnread {
 		return blindness{
@@ -238,13 +238,13 @@
 	return b
 }
 
-// hides reports whether a task may run unseen.
+// contains reports whether tasks lists the task. It does not consider all.
 func (b blindness) hides(id job.TaskID) bool {
-	_, hidden := b.tasks[id]
-	return hidden
+	_, found := b.tasks[id]
+	return found
 }
 
-// hidesAny reports whether an idle task of a step may run unseen.
+// containsIdle reports whether tasks lists an idle task of the step.
 func (b blindness) hidesAny(g group, step *stepState) bool {
 	for _, index := range step.idle {
 		if b.hides(g.task(index)) {
@@ -254,8 +254,8 @@
 	return false
 }
 
-// reportSight logs, once each, when a new owner starts all but some tasks, and when
-// nothing of an earlier owner can run unseen any more.
+// logUnobserved logs once when the tasks that may run unobserved are limited to known ones, so that
+// this owner can start all others, and once when no task of an earlier owner can run unobserved.
 func (s *Shard) reportSight(now time.Time) {
 	if s.sighted {
 		return
@@ -271,7 +271,7 @@
 	s.seesMost = true
 }
 
-// isNamed reports whether a row of this owner may still name a worker as one where
+// isInHandover reports whether a row of this owner may still list the worker as one on which
 // nothing is started or renewed.
 func (s *Shard) isNamed(w *workerState) bool {
 	return (s.passedOn && s.confirmed.IsZero()) || w.regained.After(s.confirmed)
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -6,15 +6,13 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// withdrawnMost bounds the cancellations that wait for their job. An entry writes such a
-// row only after it has found the job's own, so that there are few; the bound is that
-// of the jobs that wait for their record. What is left out still stands in its row, for
-// the next owner.
+// maxDeferredCancels bounds the deferred cancellations. There are few, since an entry writes the
+// row of a cancellation only after it has found the row of the job; the bound is the one of the
+// jobs that wait for their record. The row of a cancellation beyond it stays for the next owner.
 const withdrawnMost = SubmittedMost
 
-// Accept takes in a job whose record stands in the table at the given version.
-// direct says that the entry that wrote it tells this owner and has told none
-// before.
+// Accept adds a job whose record is stored in the table at the given version. direct says that the
+// entry that wrote the record notified this owner itself and had notified no other owner before.
 func (s *Shard) Accept(record Record, version int64, direct bool, now time.Time) {
 	if _, known := s.jobs[record.ID]; known {
 		return
@@ -28,8 +26,7 @@
 	s.cancelAwaited(record.ID, now)
 }
 
-// Restore takes in a job with the progress that an earlier owner wrote; nil
-// means that none was written.
+// Restore adds a job with the progress that an earlier owner wrote, nil if none was written.
 func (s *Shard) Restore(record Record, progress *Progress, now time.Time) error {
 	if _, known := s.jobs[record.ID]; known {
 		return nil
@@ -55,7 +52,7 @@
 	return nil
 }
 
-// RestoreEnded takes in a job of which only the final state is left.
+// RestoreEnded adds a job of which only the final state is stored.
 func (s *Shard) RestoreEnded(id string, progress Progress) {
 	if _, known := s.jobs[id]; known {
 		return
@@ -73,6 +70,7 @@
 	s.opts.Show(id, progress.State)
 }
 
+// addJob adds a queued job, with the newest policy of its route if there is one.
 func (s *Shard) add(record Record) *jobState {
 	policy := record.Policy
 	if newest, found := s.opts.Policy(record.Route); found {
@@ -84,7 +82,7 @@
 	return j
 }
 
-// schedule makes the due occurrences of a job startable.
+// schedule makes the due occurrences of a job ready to start, or finishes the job if none remains.
 func (s *Shard) schedule(j *jobState, now time.Time) {
 	if j.record.Spec.Repeats > 0 {
 		s.repeating[j.record.ID] = j
@@ -110,7 +108,7 @@
 	s.waiting[j.record.ID] = j
 }
 
-// beginOccurrences builds the occurrences that are due.
+// addDueOccurrences adds the occurrences of repeating jobs that have come due.
 func (s *Shard) beginOccurrences(now time.Time) {
 	for id, j := range s.repeating {
 		for j.begunOccurrences < j.record.Spec.Occurrences() && !now.Before(j.record.Spec.Due(j.begunOccurrences)) {
@@ -123,38 +121,39 @@
 	}
 }
 
-// Cancel withdraws a job. then is called once the table says so, or at once
-// where the job had ended; it reports false where the job is not known. Until the
-// standby part is read, which may hold the job's final state, nothing is decided.
-func (s *Shard) Cancel(id string, now time.Time, then func()) bool {
+// Cancel cancels a job. It reports false if the job is unknown, or if the cancellation has to be
+// deferred and too many are. done is called once the job's final state is stored, or immediately if
+// it already is. Until the standby part is read, which may hold the job's final state, the
+// cancellation is deferred.
+func (s *Shard) Cancel(id string, now time.Time, done func()) bool {
 	j, known := s.jobs[id]
 	if !known {
 		return false
 	}
 	if j.state.Final() {
 		if _, unwritten := s.dirty[id]; !unwritten && j.asked == nil {
-			then()
+			done()
 			return true
 		}
-		j.asked = append(j.asked, then)
+		j.asked = append(j.asked, done)
 		return true
 	}
 	if s.standbyUnread {
 		if !s.awaitJob(id, false) {
 			return false
 		}
-		j.asked = append(j.asked, then)
+		j.asked = append(j.asked, done)
 		return true
 	}
 	s.opts.Report("job cancelled", "job", id, "state", string(j.state), "runs", j.active)
 	s.unsubmit(j)
-	j.asked = append(j.asked, then)
+	j.asked = append(j.asked, done)
 	s.finishJob(j, job.Cancelled, now)
 	return true
 }
 
-// CancelByRow withdraws a job because a row asks for it; the row goes with the
-// job's final state. Where the job is not known yet, it is withdrawn once it is.
+// CancelByRow cancels a job because a row requests it. The row is deleted when the job's final
+// state is stored. If the job is not known yet, the cancellation is deferred until it is.
 func (s *Shard) CancelByRow(id string, now time.Time) {
 	j, known := s.jobs[id]
 	if !known || s.standbyUnread {
@@ -169,22 +168,21 @@
 	s.Cancel(id, now, func() {})
 }
 
-// awaitJob remembers a cancellation until it can be decided; it reports false where too
-// many wait.
+// deferCancel keeps a cancellation until it can be applied. It reports false if too many are kept.
 func (s *Shard) awaitJob(id string, byRow bool) bool {
-	_, waits := s.withdrawn[id]
-	s.opts.Report("cancellation waits", "job", id, "by_row", byRow, "waiting", len(s.withdrawn))
-	if !waits && len(s.withdrawn) >= withdrawnMost {
+	_, deferred := s.withdrawn[id]
+	s.opts.Report("cancellation deferred", "job", id, "by_row", byRow, "waiting", len(s.withdrawn))
+	if !deferred && len(s.withdrawn) >= withdrawnMost {
 		return false
 	}
 	s.withdrawn[id] = s.withdrawn[id] || byRow
 	return true
 }
 
-// cancelAwaited withdraws a job that is known now, where that was asked for before.
+// applyDeferredCancel cancels a job that is known now if a cancellation of it was deferred.
 func (s *Shard) cancelAwaited(id string, now time.Time) {
-	byRow, asked := s.withdrawn[id]
-	if _, known := s.jobs[id]; !asked || !known || s.standbyUnread {
+	byRow, found := s.withdrawn[id]
+	if _, known := s.jobs[id]; !found || !known || s.standbyUnread {
 		return
 	}
 	delete(s.withdrawn, id)
@@ -195,7 +193,7 @@
 	s.Cancel(id, now, func() {})
 }
 
-// Known returns the state of a job as decided, which may not be written yet.
+// JobState returns the state of a job as decided by this owner, which may not be stored yet.
 func (s *Shard) Known(id string) (job.State, bool) {
 	j, known := s.jobs[id]
 	if !known {
@@ -204,7 +202,7 @@
 	return j.state, true
 }
 
-// forget drops jobs that ended long ago, with their rows.
+// forgetEndedJobs drops jobs that ended long ago and has their rows deleted.
 func (s *Shard) forget(now time.Time) {
 	if now.Before(s.forgetAt) {
 		return
@@ -223,5 +221,5 @@
 	}
 }
 
-// forgetPause is the time between two searches for jobs to forget.
+// forgetInterval is the time between two searches for ended jobs to drop.
 const forgetPause = 5 * time.Second
--- a/shard/jobstate.go
+++ b/shard/jobstate.go
@@ -9,70 +9,71 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-// jobState is one job in memory.
+// jobState is the state of one job in memory.
 type jobState struct {
 	record Record
 	policy catalog.Policy
 
-	// state is what the owner has decided; callers are told only once the row
-	// says so.
+	// state is the state that the owner has decided. Callers see it only once it is stored in
+	// the job's row.
 	state job.State
 
-	// fresh says that no earlier owner can have started a task of the job.
+	// fresh means that no earlier owner can have started a task of the job.
 	fresh bool
 
-	// restored says that the job was read from rows, with what earlier owners wrote of it.
+	// restored means that the job was read from rows, with the progress stored by earlier owners.
 	restored bool
 
-	// hopeful says that the job, which was not begun, could end in time when last looked at.
+	// canBeOnTime means that the job had not started and could still meet its deadline at the
+	// last evaluation.
 	hopeful bool
 
-	// begun says that a task has started.
+	// started means that a task of the job has started, or that the job has ended.
 	begun bool
 
-	// occurrences holds the first begunOccurrences runs of the steps.
+	// occurrences holds the occurrences that have come due, dueOccurrences in number.
 	occurrences      []*occurrence
 	begunOccurrences int
 
-	// left counts occurrences that have not ended, begun or not.
+	// remaining counts the occurrences that have not ended, due or not.
 	left int
 
-	// deadline is when the job stops earning its full value.
+	// deadline is the time until which the completed job earns its full value.
 	deadline time.Time
 
-	// ended is when a final state was reached.
+	// endedAt is when the job reached a final state.
 	ended time.Time
 
-	// active counts the runs at workers, stopping ones included.
+	// activeRuns counts the runs on workers, including those that are being stopped.
 	active int
 
-	// unwritten says that the job was handed in here and its record does not
-	// stand yet: nothing of it is started or shown. submitted says that no batch
-	// holds the record; handed holds who waits for it.
+	// unwritten means that the job was submitted to this owner and its record is not stored yet;
+	// until then the job is neither started nor shown. submitted means that no batch holds the
+	// record yet. submitWaiters are called with the answer to the submission.
 	unwritten bool
 	submitted bool
 	handed    []func(Answer)
 
-	// offeredStandby says that a batch for the standby part holds the job's record or
-	// final state, or that the latter stands there; inStandby that rows of the job
-	// stand there. settled says that the final state stands in the service's own
-	// part.
+	// offeredStandby means that a batch for the standby part holds the job's record or final
+	// state, or that the final state is already stored there. inStandby means that the standby
+	// part holds rows of the job. finalStored means that the final state is stored in the
+	// service's own part.
 	offeredStandby bool
 	inStandby      bool
 	settled        bool
 
-	// cancelRow says that a row asks for the job's cancellation.
+	// cancelRow means that a row requests the job's cancellation.
 	cancelRow bool
 
-	// asked holds who waits for a cancellation to be written.
+	// cancelWaiters are called once the cancellation of the job is stored.
 	asked []func()
 }
 
-// occurrence is one run of all steps.
+// occurrence is one execution of all steps of a job.
 type occurrence struct {
 	steps []*stepState
 
-	// left counts steps with a task that has not ended well.
+	// remaining counts the steps with a task that has not succeeded.
 	left int
 }
 
@@ -80,54 +81,55 @@
 type stepState struct {
 	tasks []*taskState
 
-	// left counts tasks that have not ended well.
+	// remaining counts the tasks that have not succeeded.
 	left int
 
-	// idle lists the indices of tasks that are neither done nor at a worker.
+	// idle lists the indices of tasks that are neither done nor on a worker.
 	idle []int
 }
 
-// taskState is one task.
+// taskState is the state of one task.
 type taskState struct {
 	done bool
 
-	// failed lists the runs that failed, each once.
+	// failedRuns lists the numbers of the failed runs, each once.
 	failed []int64
 
-	// crashed holds the workers that crashed under the task; trials those where that may
-	// be so, because nobody knows how its run there ended.
-	// markBatch is the batch after which the newest mark stands in a row.
+	// crashes holds the workers that crashed while they ran the task, and possibleCrashes those
+	// that may have, because it is unknown how the run there ended. crashBatch is the batch that
+	// stores the newest of crashes.
 	crashed   suspect.Marks
 	trials    suspect.Marks
 	markBatch int64
 
-	// aloneSince is since when the task waits for a worker of its own; zero while it does not.
-	// toldWaits says that it was logged that no more workers may be kept for it.
+	// isolatedWaitSince is when the task began to wait for a dedicated worker, zero if it does
+	// not. loggedWait means that it was logged that no worker can be reserved for it.
 	aloneSince time.Time
 	toldWaits  bool
 
-	// lastRun is the highest run number given out under this owner.
+	// lastRun is the highest run number that this owner has assigned or found on a worker.
 	lastRun int64
 
-	// checkpoint is the newest saved state that was seen; empty for none.
+	// checkpoint is the newest checkpoint that was reported; empty for none.
 	checkpoint string
 
-	// runs are at most two: the task's run and a speculative copy.
+	// runs holds at most two runs: the regular one and a speculative copy.
 	runs []*run
 
-	// avoid names the workers where a run of the task failed.
+	// failedWorkers lists the incarnations of workers on which a run of the task failed.
 	avoid []outside.Incarnation
 
 	// idleSince is when the task last lost its run; zero before its first.
 	idleSince time.Time
 }
 
-// measure is a running mean of run times.
+// runTimeStats is a running mean of run times.
 type measure struct {
 	mean  time.Duration
 	count int
 }
 
+// newJob returns a queued job without occurrences.
 func newJob(record Record, policy catalog.Policy) *jobState {
 	j := &jobState{
 		record: record,
@@ -139,7 +141,7 @@
 	return j
 }
 
-// chain returns the longest chain of estimated work through the steps.
+// criticalPath returns the longest sum of estimates along a chain of dependent steps.
 func chain(spec job.Spec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	longest := time.Duration(0)
@@ -154,12 +156,12 @@
 	return longest
 }
 
-// isLate reports whether the job is past its deadline; what lasts or is repeated has none.
+// isLate reports whether the job is past its deadline. Long-running and repeating jobs have none.
 func (j *jobState) isLate(now time.Time) bool {
 	return j.record.Spec.Repeats == 0 && !j.lasts() && now.After(j.deadline)
 }
 
-// lasts reports whether a step of the job is to run until it is cancelled.
+// hasLongRunningStep reports whether a step of the job runs until the job is cancelled.
 func (j *jobState) lasts() bool {
 	for i := range j.record.Spec.Steps {
 		if j.record.Spec.Steps[i].Lasting {
@@ -169,7 +171,7 @@
 	return false
 }
 
-// beginNext builds the next occurrence; all of its tasks are idle.
+// addOccurrence adds the next occurrence, with all tasks idle.
 func (j *jobState) beginNext() {
 	o := &occurrence{
 		left: len(j.record.Spec.Steps),
@@ -189,7 +191,7 @@
 	j.begunOccurrences++
 }
 
-// ready reports whether the tasks of a step may start.
+// isReady reports whether the steps that a step depends on have succeeded, so that it may start.
 func (j *jobState) ready(occurrence, step int) bool {
 	for _, earlier := range j.record.Spec.Steps[step].After {
 		if j.occurrences[occurrence].steps[earlier].left > 0 {
@@ -199,7 +201,7 @@
 	return true
 }
 
-// task returns a task by its name, or nil where the job has none such.
+// task returns a task by its ID, or nil if the job has no such task or it is not due yet.
 func (j *jobState) task(id job.TaskID) *taskState {
 	if id.Occurrence >= j.begunOccurrences || id.Step >= len(j.record.Spec.Steps) {
 		return nil
@@ -211,22 +213,22 @@
 	return step.tasks[id.Index]
 }
 
-// attempts returns how many runs of a task have failed. A gang fails as one,
-// whichever member it was.
+// attempts returns how many runs of a task have failed. A failed run of any member of a gang
+// counts for all members.
 func (j *jobState) attempts(id job.TaskID, t *taskState) int {
 	if !j.record.Spec.Steps[id.Step].Gang {
 		return len(t.failed)
 	}
-	failed := make(map[int64]bool)
+	failedRuns := make(map[int64]bool)
 	for _, member := range j.occurrences[id.Occurrence].steps[id.Step].tasks {
 		for _, number := range member.failed {
-			failed[number] = true
+			failedRuns[number] = true
 		}
 	}
-	return len(failed)
+	return len(failedRuns)
 }
 
-// finish marks a task as ended well and reports whether it was not before.
+// finish marks a task as done and reports whether it was not done before.
 func (s *stepState) finish(index int) bool {
 	if s.tasks[index].done {
 		return false
@@ -237,7 +239,7 @@
 	return true
 }
 
-// unidle takes a task from the idle list.
+// removeIdle removes a task from the idle list.
 func (s *stepState) unidle(index int) {
 	for i, other := range s.idle {
 		if other == index {
--- a/shard/lease.go
+++ b/shard/lease.go
@@ -6,16 +6,16 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// namedLook is how long a look waits at a worker whose lease may be renewed once
-// the transaction under way is applied: that takes some 20 ms.
+// handoverPollWait bounds how long a poll waits at a worker whose lease may be renewed as soon as
+// the transaction in flight is applied, which takes about 20 ms.
 const namedLook = 50 * time.Millisecond
 
-// WorkerRows are the rows of workers that a transaction has to write.
+// WorkerRows are the rows of workers that a transaction must write or delete.
 type WorkerRows struct {
-	// Used holds workers that are to be used once their row stands.
+	// Used lists workers that may be used once their row is stored.
 	Used []outside.WorkerRef
 
-	// Ended names workers whose life has ended.
+	// Ended lists workers whose incarnation has ended and whose row is to be deleted.
 	Ended []string
 }
 
@@ -24,36 +24,36 @@
 	return len(r.Used) == 0 && len(r.Ended) == 0
 }
 
-// WorkerRows returns the rows of workers that are due, at most the given number
-// of each kind.
-func (s *Shard) WorkerRows(most int) WorkerRows {
+// WorkerRows returns the rows of workers that are due, at most maxRows of each kind.
+func (s *Shard) WorkerRows(maxRows int) WorkerRows {
 	var rows WorkerRows
 	for id, w := range s.workers {
-		// The row of one that was taken for ended goes before it is written again.
-		if _, goes := s.unrecord[id]; goes {
+		// The row of a worker that was considered ended is deleted before it is written again.
+		if _, deleting := s.unrecord[id]; deleting {
 			continue
 		}
-		if w.listed && !w.recorded && len(rows.Used) < most {
+		if w.listed && !w.recorded && len(rows.Used) < maxRows {
 			rows.Used = append(rows.Used, w.ref())
 		}
 	}
 	for id := range s.unrecord {
-		if len(rows.Ended) < most {
+		if len(rows.Ended) < maxRows {
 			rows.Ended = append(rows.Ended, id)
 		}
 	}
 	return rows
 }
 
-// lapsed reports whether nothing runs on a silent worker for sure.
+// hasLapsed reports whether certainly nothing runs on a silent worker, because all leases there
+// have expired.
 func (w *workerState) lapsed(now time.Time) bool {
 	return w.failures > 0 && len(w.runs) == 0 && now.After(w.until) && now.After(w.blindUntil)
 }
 
-// lapse ends what ran on workers that could not be reached for a whole lease. They are
-// asked once more after that: a worker that ran all the while, and whose answers came
-// too late for an owner without processor time, lists what has ended well. While this
-// owner is late itself, it gives nothing up.
+// expireLeases gives up the runs on workers that could not be reached for a whole lease, but only
+// after one more poll has failed: if this owner lacked processor time and processed answers too
+// late, a worker that was running all the time can still list the runs that succeeded. While this
+// owner itself is late, it gives up nothing. Unlisted workers that stay silent are removed.
 func (s *Shard) lapse(now time.Time) {
 	late := s.pulse.late(now)
 	for id, w := range s.workers {
@@ -68,7 +68,8 @@
 		unreachable := w.failures > 0 && now.After(w.until) && now.After(w.blindUntil)
 		if !w.listed && unreachable && now.Sub(w.unlisted) > unlistedGrace {
 			s.loseWorker(w, now, "unlisted and silent")
-			// Its life may go on behind a cut: once it is listed again, it is looked at.
+			// The incarnation may still run behind a network partition. It is polled once it
+			// is listed again.
 			delete(s.gone, id)
 		}
 	}
@@ -77,7 +78,7 @@
 	s.forgetStarts(now)
 }
 
-// endWorker drops a worker whose incarnation has ended.
+// removeWorker removes a worker whose incarnation has ended.
 func (s *Shard) endWorker(w *workerState, now time.Time, reason string) {
 	s.opts.Report("worker ended", "worker", w.incarnation().String(), "reason", reason, "runs", len(w.runs))
 	if reason == reasonTaken {
@@ -95,7 +96,7 @@
 	}
 }
 
-// loseRuns ends every run of a worker without an end of its own.
+// dropRuns drops all runs of a worker that has reported no end for them.
 func (s *Shard) loseRuns(w *workerState, now time.Time, reason string) {
 	for _, r := range w.runs {
 		s.drop(r, now)
@@ -103,9 +104,8 @@
 	}
 }
 
-// holds orders the looks that are due. No worker is looked at before the standby part
-// is read: the runs of a job that is not known yet would be stopped, and their ends
-// acknowledged.
+// orderPolls orders the polls that are due. No worker is polled before the standby part is read,
+// because runs of jobs that are not known yet would be stopped, and their ends acknowledged.
 func (s *Shard) holds(now time.Time) {
 	if s.standbyUnread {
 		return
@@ -117,9 +117,9 @@
 		if s.done >= w.ackBatch || s.allWritten() {
 			w.acked = w.acknowledgeable()
 		}
-		// A worker that was silent gets no longer lease until it answers again:
-		// each one sent would put off the moment when it has lapsed for sure. The
-		// same holds until no row says how long that takes.
+		// The lease of a silent worker is not extended until it answers again: each renewal
+		// would postpone the moment when the lease has certainly expired. The same applies
+		// while a row of the handover may list the worker.
 		until := time.Duration(0)
 		if w.failures == 0 && !s.isNamed(w) {
 			until = w.deadline(now, s.opts.Lease)
@@ -138,10 +138,10 @@
 	}
 }
 
-// acknowledgement returns the last end that a look lets the worker forget, 0 for none. It is
-// sent until it is heard, and not to a worker that has been silent: a look without an answer
-// may be carried out late, by the next incarnation, which would forget what nobody has read
-// (once in 171 delays of 10 ms each that were tried).
+// acknowledgement returns the number of the last end that a poll lets the worker forget, 0 for
+// none. It is repeated until the worker has forgotten the ends. It is not sent to a silent worker:
+// an unanswered poll may be carried out late, by the next incarnation, which would then forget ends
+// that no owner has read.
 func (w *workerState) acknowledgement() int64 {
 	if w.failures > 0 || w.acked <= w.forgotten {
 		return 0
@@ -149,7 +149,7 @@
 	return w.acked
 }
 
-// noteForgotten takes in which ends the worker lists no more.
+// updateForgotten updates which ends the worker has forgotten, from the ends that it still lists.
 func (w *workerState) noteForgotten(listed []outside.End) {
 	first := w.processed + 1
 	for _, end := range listed {
@@ -158,13 +158,13 @@
 	w.forgotten = max(w.forgotten, first-1)
 }
 
-// takeEnds takes in the ends that a worker lists, and says when it is looked at next.
+// processEnds processes the ends that a worker lists and sets when it is polled next.
 func (s *Shard) takeEnds(w *workerState, listed []outside.End, now time.Time) {
 	w.holdAt = now
 	w.noteForgotten(listed)
 	for _, end := range listed {
 		if end.Number <= w.forgotten {
-			// No worker lists an end again that it has let go.
+			// A worker never lists an end again that it has forgotten.
 			s.opts.Report("end listed again", "task", end.Task.String(), "run", end.Run, "worker", w.incarnation().String(),
 				"how", string(end.Kind), "number", end.Number, "taken_in", w.processed, "acknowledged", w.acked)
 		}
@@ -180,7 +180,7 @@
 		}
 	}
 	if s.allWritten() {
-		// Nothing that these ends changed has to be written.
+		// These ends changed nothing that must be written.
 		w.ackBatch = s.done
 		w.holdAt = now
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-// holdWait returns how long a look may wait at the worker for an end.
+// pollWait returns how long a poll may wait at the worker for an end.
 func (s *Shard) holdWait(w *workerState) time.Duration {
 	if w.failures > 0 || !w.known || !w.doubted.IsZero() || w.acked < w.acknowledgeable() {
 		return 0
@@ -202,7 +202,7 @@
 		wait = min(wait, paceLook)
 	}
 	if s.isNamed(w) {
-		// The lease is renewed by the look after the transaction.
+		// The lease is renewed by the first poll after the transaction.
 		wait = min(wait, namedLook)
 	}
 	return wait
--- a/shard/load.go
+++ b/shard/load.go
@@ -8,64 +8,65 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-// closeFor is how long a worker stays closed after it was last asked for. The
-// duty that asks does so several times a second; when it dies, the worker is
-// open again soon.
+// closedTTL is how long a worker stays closed after the last request to close it. The instance
+// controller repeats the request several times a second; if it dies, the worker soon opens again.
 const closeFor = 2 * time.Second
 
-// reasonTaken says that a worker ended because its instance was moved or taken down.
+// reasonInstanceTaken is the reason of a worker whose instance was moved or taken down.
 const reasonTaken = "instance was taken"
 
-// Load is what a service needs and has, for whoever sizes its pool.
+// Load is the demand of a service and the capacity that it has. It serves to size the service's
+// pool.
 type Load struct {
-	// Fence is that of the owner that tells it; 0 where an earlier version does.
+	// Fence is the epoch of the owner that reports the load; 0 if its version does not report it.
 	Fence int64
 
-	// Used is the room that runs take; Waiting is what tasks need that could
-	// start on any worker if there were room.
+	// Used is the resources that runs take. Waiting is the resources needed by tasks that could
+	// start on any worker with enough of them.
 	Used    job.Room
 	Waiting job.Room
 
-	// Coming is what such tasks need whose step waits for another to end.
+	// Coming is the resources needed by tasks without a label whose step waits for another step.
 	Coming job.Room
 
-	// Late is the part of Used and Waiting together, and LateComing that of Coming, that
-	// belongs to jobs which can't end in time any more, whatever room they get.
+	// Late is the part of Used and Waiting together, and LateComing the part of Coming, that
+	// belongs to jobs which can no longer meet their deadline, whatever resources they get.
 	Late       job.Room
 	LateComing job.Room
 
-	// Spread is the number of workers that the widest step with a limit for
-	// each worker needs.
+	// Spread is the largest number of workers that a step with a limit of tasks per worker
+	// needs.
 	Spread int
 
-	// Labelled maps a label to what waiting tasks and runs need of workers that
-	// carry it.
+	// Labelled maps a label to the resources that idle tasks and runs need on workers with it.
 	Labelled map[string]job.Room
 
-	// Lasting is the part of Used that lasting tasks take.
+	// Lasting is the part of Used that long-running tasks take.
 	Lasting job.Room
 
-	// Room is the mean room of a worker by the workers' own word, which shrinks and grows
-	// while they run; zero where it is not known.
+	// Room is the mean capacity of a worker as reported by the workers, which changes while they
+	// run; zero if unknown.
 	Room job.Room
 
-	// Workers holds each worker by its id.
+	// Workers holds the load of each worker by its ID.
 	Workers map[string]WorkerLoad
 
-	// alone is what tasks take that are to run alone.
+	// isolated computes the additional resources needed by isolated tasks.
 	alone aloneNeed
 }
 
-// aloneNeed reckons what tasks need beyond their own room that are to run alone.
+// isolatedDemand computes the resources that isolated tasks need in addition to their own.
 type aloneNeed struct {
-	// room is that of a worker; left is of how many more tasks it is asked for.
+	// workerCapacity is the mean capacity of a worker. left is how many more tasks it may
+	// be added for.
 	room job.Room
 	left int
 }
 
-// need returns the room of a worker for each idle task of a step that is to run alone, as
-// far as workers may be kept for such. Without it the pool sees free room while they wait,
-// and shrinks: one waited for 33 s beside 20 workers none of which emptied.
+// need returns the capacity of one worker for each idle isolated task of a step, limited to the
+// number of workers that may be reserved for such tasks. Without it, the pool seems to have free
+// capacity while such tasks wait, and shrinks: a task waited for 33 s beside 20 workers, none of
+// which became empty.
 func (n *aloneNeed) need(step *stepState) job.Room {
 	var sum job.Room
 	for _, index := range step.idle {
@@ -77,34 +78,34 @@
 	return sum
 }
 
-// WorkerLoad is what a worker is doing.
+// WorkerLoad is the load and the status of one worker.
 type WorkerLoad struct {
-	// Runs counts what may run there; Lasting those of lasting steps.
+	// Runs counts the runs that may be on the worker, Lasting those of long-running steps.
 	Runs    int
 	Lasting int
 	Used    job.Room
 
-	// Busy is how long its short runs are expected to go on.
+	// Busy is the longest remaining time expected of its runs, long-running ones excluded.
 	Busy time.Duration
 
-	// Closed says that nothing new is placed there. Born is told of such a worker only:
-	// when its incarnation began, zero where that is not known.
+	// Closed means that no new task is placed on the worker. Born is when the incarnation of a
+	// closed worker began; zero if unknown and for other workers.
 	Closed bool
 	Born   time.Time
 
-	// Draining says that the worker announced its end.
+	// Draining means that the worker has announced its end.
 	Draining bool
 
-	// Known says that this owner has looked at the worker: before that, it may
-	// run what an earlier owner started there.
+	// Known means that the worker has answered this owner. Before that, it may run what an
+	// earlier owner started there.
 	Known bool
 
-	// Reached says that the worker answered its last look.
+	// Reached means that the worker answered the last poll.
 	Reached bool
 }
 
-// SetClosed replaces the set of workers where nothing new is placed and lasting
-// tasks are moved away, as far as their steps allow it.
+// SetClosed replaces the set of closed workers. No new task is placed on a closed worker, and its
+// long-running tasks are moved away as far as their steps allow it.
 func (s *Shard) SetClosed(ids []string, now time.Time) {
 	s.given = nil
 	s.anyGivenUntil = time.Time{}
@@ -124,10 +125,11 @@
 	}
 }
 
-// InheritGiven takes in the workers whose instances were about to be ordered when this owner
-// took the shard: an owner before had told that nothing runs there. Where that is not known, it
-// may be any on which nothing runs. Until the holder of the instances says what is closed, or
-// its orders must have had their effect, nothing is started there: the order would end it.
+// RestoreReleased restores the workers that an earlier owner had reported to the instance
+// controller as running nothing, so that an order to move or end their instance may be in flight.
+// If known is false, any worker without runs may be such a worker. Nothing is started there,
+// because the order would end it, until the controller reports the closed workers or until
+// closedTTL has passed.
 func (s *Shard) InheritGiven(ids []string, known bool, now time.Time) {
 	until := now.Add(closeFor)
 	if !known {
@@ -139,16 +141,16 @@
 	}
 }
 
-// mayBeGiven reports whether an order to a worker's instance may be under way of which this
+// mayBeReleased reports whether an order to the worker's instance may be in flight of which this
 // owner was not told.
 func (s *Shard) mayBeGiven(w *workerState, now time.Time) bool {
 	return len(w.runs) == 0 && (now.Before(s.anyGivenUntil) || now.Before(s.given[w.reg.ID]))
 }
 
-// End drops workers whose instance was moved or taken down, also those that were not listed
-// yet. It is told their incarnations by name, several times: a worker that has started again
-// since goes on. By the id alone it was refused for goneFor, and a new owner gave up what the
-// owner before had started on it.
+// RemoveTaken removes workers whose instance was moved or taken down, including those that are not
+// listed yet. names identifies their incarnations and may be repeated in later calls. A worker that
+// has restarted since stays: when workers were removed by ID alone, a restarted worker was refused
+// for a minute, and a new owner gave up what the previous owner had started on it.
 func (s *Shard) End(names []string, now time.Time) {
 	for _, name := range names {
 		taken := outside.ParseIncarnation(name)
@@ -160,7 +162,7 @@
 		case !found:
 			s.noteGone(taken, now)
 		case !s.listedOnce && !taken.Born.IsZero() && w.incarnation().Born.IsZero():
-			// Its row will tell whether it has started again.
+			// The worker's row will show whether it has restarted.
 			s.takenUnseen = append(s.takenUnseen, name)
 		case w.incarnation().Same(taken):
 			s.endWorker(w, now, reasonTaken)
@@ -168,7 +170,7 @@
 	}
 }
 
-// Load returns what the service needs and has.
+// Load returns the demand of the service and the load of its workers.
 func (s *Shard) Load(now time.Time) Load {
 	load := Load{
 		Fence:    s.epoch,
@@ -181,7 +183,7 @@
 		},
 	}
 	for id, w := range s.workers {
-		one := WorkerLoad{
+		workerLoad := WorkerLoad{
 			Runs:     len(w.runs),
 			Used:     w.used,
 			Closed:   now.Before(w.closedUntil),
@@ -189,8 +191,8 @@
 			Known:    w.known,
 			Reached:  w.known && w.failures == 0,
 		}
-		if one.Closed {
-			one.Born = w.incarnation().Born
+		if workerLoad.Closed {
+			workerLoad.Born = w.incarnation().Born
 		}
 		load.Used = load.Used.Add(w.used)
 		for id, r := range w.runs {
@@ -204,13 +206,13 @@
 			switch {
 			case !found:
 			case step.Lasting:
-				one.Lasting++
+				workerLoad.Lasting++
 				load.Lasting = load.Lasting.Add(step.Charge())
 			default:
-				one.Busy = max(one.Busy, s.left(r, step, now))
+				workerLoad.Busy = max(workerLoad.Busy, s.left(r, step, now))
 			}
 		}
-		load.Workers[id] = one
+		load.Workers[id] = workerLoad
 	}
 	for _, j := range s.jobs {
 		if !j.state.Final() {
@@ -220,7 +222,7 @@
 	return load
 }
 
-// addWaiting adds what the idle tasks of a job need.
+// addWaiting adds the resources that the idle tasks of a job need to a load.
 func (s *Shard) addWaiting(j *jobState, load *Load, now time.Time) {
 	for k, o := range j.occurrences {
 		for st, step := range o.steps {
@@ -259,8 +261,8 @@
 	}
 }
 
-// left returns how much longer a run is expected to go on. One that takes longer
-// than expected is expected to take half as long again.
+// left returns how much longer a run is expected to take. A run that has exceeded the expected
+// time is expected to take half as long again as it has so far.
 func (s *Shard) left(r *run, step *job.Step, now time.Time) time.Duration {
 	passed := now.Sub(r.began)
 	expected := s.expect(s.jobs[r.id.Job], step)
@@ -279,12 +281,13 @@
 	return &j.record.Spec.Steps[id.Step], true
 }
 
-// isLasting reports whether a task of a known job is to run until its job is cancelled.
+// isLongRunning reports whether a task belongs to a known job and runs until that job is cancelled.
 func (s *Shard) isLasting(id job.TaskID) bool {
 	spec, found := s.stepOf(id)
 	return found && spec.Lasting
 }
 
+// scale returns the resources of n tasks that need r each.
 func times(r job.Room, n int) job.Room {
 	return job.Room{
 		MilliCPU:     r.MilliCPU * n,
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -7,11 +7,11 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// reasonNoAnswer says that a run is stopped because nobody knows whether it begins.
+// reasonNoAnswer is the reason of a stop of a run that may or may not have begun.
 const reasonNoAnswer = "start without an answer"
 
-// stop asks for the end of a run, whatever its step can spare. One that is being stopped only
-// as long as its step can spare it is so no more.
+// stop requests the stop of a run, whether or not its step can spare it. If the run is already
+// being stopped on the condition that its step can spare it, the condition is removed.
 func (s *Shard) stop(r *run, reason string) {
 	if r.phase == phaseStopping || r.phase == phaseStopped {
 		if r.spared || r.notThere {
@@ -30,16 +30,16 @@
 	s.due[r] = struct{}{}
 }
 
-// stopAgain asks once more for the end of a run that a worker lists although it has answered the
-// stop, and the time of that is over. What could be spared then may not be any more.
+// stopAgain stops a run again that a worker still lists although it has answered the stop and the
+// time to stop is over. If the step could spare the run before, that may no longer be so.
 func (s *Shard) stopAgain(r *run) {
 	r.phase = phaseStopping
 	r.tries = max(1, r.tries)
 	s.due[r] = struct{}{}
-	s.reportRun("listed after its stop", r.id, r.number, r.worker, "reason", r.reason)
+	s.reportRun("run still listed after its stop", r.id, r.number, r.worker, "reason", r.reason)
 }
 
-// Started takes in the answer to a start.
+// Started handles the answer to a start. clock is the worker's clock.
 func (s *Shard) Started(start Start, now time.Time, clock time.Duration, err error) {
 	r := s.answered(start.Worker.ID, start.Order.Task, start.Call)
 	if r == nil {
@@ -60,7 +60,7 @@
 	s.startFailed(w, r, now, err)
 }
 
-// startFailed decides what becomes of a run whose start did not succeed.
+// handleStartFailure decides what happens to a run whose start failed or got no answer.
 func (s *Shard) startFailed(w *workerState, r *run, now time.Time, err error) {
 	s.reportRun("start failed", r.id, r.number, w, "error", err.Error())
 	var gone *outside.GoneError
@@ -79,7 +79,7 @@
 		r.tries++
 		r.unanswered = true
 		if r.phase == phaseStopping || r.phase == phaseRunning {
-			// A look has shown that the run is there; a later start of it does nothing.
+			// A poll has shown that the run exists; starting it again has no effect.
 			return
 		}
 		r.phase = phaseDoubtful
@@ -91,8 +91,9 @@
 	}
 }
 
-// giveUpStart repeats a start no more that got no answer. A short task is better started
-// elsewhere at once: it would wait for a look that may get no answer either.
+// giveUpStart stops repeating a start that got no answer. Unless the task is long-running, the run
+// is stopped at once to be started elsewhere: it would wait for a poll that may get no answer
+// either.
 func (s *Shard) giveUpStart(r *run) {
 	r.tries = max(r.tries, startTries)
 	if !s.isLasting(r.id) {
@@ -100,25 +101,25 @@
 	}
 }
 
-// startRefused handles a worker's own refusal: the run is not there.
+// handleStartRefusal handles the refusal of a start by the worker itself.
 func (s *Shard) startRefused(w *workerState, r *run, now time.Time, reason outside.Refusal) {
 	if reason == outside.RefusedFence && !s.isOutdated(w.reg.ID, r.order.Fence) {
 		s.seeNewerOwner(w)
 		return
 	}
 	if r.unanswered && r.phase == phaseRunning {
-		// A look has shown that the earlier order took effect.
+		// A poll has shown that an earlier order took effect.
 		return
 	}
 	if r.unanswered && reason == outside.RefusedUnhealthy && r.phase == phaseDoubtful && s.isLasting(r.id) {
-		// It says nothing of the run, which an order before may have begun.
+		// The refusal says nothing about the run, which an earlier order may have started.
 		r.tries = startTries
 		r.doubted = now
 		return
 	}
 	if r.unanswered {
-		// An earlier order without an answer may still take effect.
-		s.stop(r, "start refused after one without an answer")
+		// An earlier order that got no answer may still take effect.
+		s.stop(r, "start refused after an unanswered start")
 		return
 	}
 	if reason == outside.RefusedTicket {
@@ -129,13 +130,13 @@
 	s.drop(r, now)
 }
 
-// seeNewerOwner gives no more orders: a worker has heard of a higher fence than this owner gave.
+// stepDown stops all orders, because a worker has seen a higher fence than this owner's.
 func (s *Shard) seeNewerOwner(w *workerState) {
 	s.opts.Report("deposed", "worker", w.reg.ID, "epoch", s.epoch, "fence", s.fenceAt(w.reg.ID))
 	s.deposed = true
 }
 
-// stops orders the stops that are due, and repeats doubtful starts.
+// orderDueRuns orders the stops that are due and repeats starts that got no answer.
 func (s *Shard) stops(now time.Time) {
 	for r := range s.due {
 		w := r.worker
@@ -185,7 +186,7 @@
 	}
 }
 
-// Stopped takes in the answer to a stop.
+// Stopped handles the answer to a stop. clock is the worker's clock.
 func (s *Shard) Stopped(stop Stop, now time.Time, clock time.Duration, err error) {
 	r := s.answered(stop.Worker.ID, stop.Task, stop.Call)
 	if r == nil {
@@ -209,7 +210,7 @@
 			s.seeNewerOwner(w)
 			return
 		}
-		// The worker knows of no such run, or takes no orders now.
+		// The worker does not know the run, or accepts no orders now.
 		r.delayStop(now)
 		if refused.Reason != outside.RefusedUnhealthy && refused.Reason != outside.RefusedFence {
 			r.phase = phaseStopped
@@ -221,9 +222,8 @@
 	w.doubted = now
 }
 
-// delayStop puts the next stop of a run off, by longer pauses each time: a worker that turned
-// stops away at once was asked 200 times in 2 s for one run, in virtual time, and 8 times with
-// it.
+// delayStop postpones the next stop of a run, with a longer backoff each time. Without it, a worker
+// that refused stops immediately was asked 200 times in 2 s to stop one run.
 func (r *run) delayStop(now time.Time) {
 	r.tries++
 	r.stopAt = now.Add(min(retryMost, retryFirst*time.Duration(r.tries)))
