--- a/shard/refusal.go
+++ b/shard/eligibility.go
@@ -8,63 +8,65 @@
 )
 
 const (
-	// waitTold is from when on it is told why a task has no worker, and waitPause the time
-	// between two such lines of a service: several times what an instance takes to come, and
-	// few enough lines while thousands wait.
+	// waitLogDelay is how long a task must wait for a worker before the reasons are logged,
+	// several times as long as a new instance takes to come. waitLogInterval is the minimum time
+	// between two such lines of a service: thousands of tasks may wait at once.
 	waitTold  = 2 * time.Second
 	waitPause = time.Second
 )
 
-// Reasons for which a worker does not take a task.
+// Reasons why a worker cannot take a task.
 const (
-	// refusedClosed means that its instance is wanted elsewhere.
+	// ineligibleClosed means that the worker is closed or may be about to end, because its
+	// instance is needed elsewhere.
 	refusedClosed refusal = "closed"
 
-	// refusedCompany means that the task or what runs there is to run alone, or that the
-	// worker is kept for such a task.
+	// ineligibleIsolation means that the task or one on the worker has to be isolated, or that
+	// the worker is reserved for an isolated task.
 	refusedCompany refusal = "company"
 
-	// refusedEvacuated means that the operator has evacuated its availability zone.
+	// ineligibleEvacuated means that the operator has evacuated the worker's availability zone.
 	refusedEvacuated refusal = "evacuated"
 
-	// refusedLabel means that it lacks the step's label.
+	// ineligibleLabel means that the worker lacks the label that the step requires.
 	refusedLabel refusal = "label"
 
-	// refusedRoom means that too little is free.
+	// ineligibleResources means that the worker has too few free resources.
 	refusedRoom refusal = "room"
 
-	// refusedSame means that a run of the task is there.
+	// ineligibleDuplicate means that the worker already has a run of the task.
 	refusedSame refusal = "same"
 
-	// refusedSpread means that it has as many tasks of the step as it may.
+	// ineligibleSpread means that the worker has reached the maximum number of tasks of the step
+	// per worker.
 	refusedSpread refusal = "spread"
 
-	// refusedTicket means that the step may not run there.
+	// ineligibleTicket means that the step needs a ticket and has none for the worker.
 	refusedTicket refusal = "ticket"
 
-	// refusedUnusable means that it takes nothing: it drains, is silent, or is not known to
-	// be what it was.
+	// ineligibleUnusable means that the worker takes no tasks at all: it drains, does not answer,
+	// or its state is not known.
 	refusedUnusable refusal = "unusable"
 
-	// takes means that the worker takes the task.
+	// takes means that the worker can take the task.
 	takes refusal = ""
 )
 
-// refusal is why a worker does not take a task.
+// eligibility is the reason why a worker cannot take a task, or takes if it can.
 type refusal string
 
-// candidate is a task that looks for a worker.
+// candidate is a task for which a worker is searched.
 type candidate struct {
 	id     job.TaskID
 	spec   *job.Step
 	task   *taskState
 	charge job.Room
 
-	// inNeed says that a worker which is closed will do, if it is not empty: its instance is
-	// taken only once nothing runs there, so that something has to.
+	// allowClosed says that a closed worker may be used if it is not empty. The instance of a
+	// closed worker is taken only once nothing runs there, so an empty one may go at any moment.
 	inNeed bool
 
-	// emptied asks for a worker as if nothing ran there.
+	// assumeEmpty says that workers are checked as if nothing ran on them.
 	emptied bool
 }
 
@@ -77,9 +79,9 @@
 	}
 }
 
-// refuses returns why a worker does not take a task at this moment, the reason that is told
-// soonest first: most workers of a busy service are full. It is the only place that knows:
-// placement, gangs, what is sent away and what is kept ask it alone.
+// checkEligibility returns why a worker cannot take a task now, or takes if it can. Reasons that
+// are quick to check come first: most workers of a busy service are full. Only this function
+// decides: placement, gangs, moves of tasks and reservations of workers all call it.
 func (s *Shard) refuses(w *workerState, c candidate, now time.Time) refusal {
 	switch {
 	case s.isEvacuated(w):
@@ -107,7 +109,8 @@
 	}
 }
 
-// roomOn returns what a worker has for the task.
+// roomOn returns the resources that a worker has for the task: its free ones, or its whole
+// capacity if it is assumed to be empty.
 func (c candidate) roomOn(w *workerState) job.Room {
 	if c.emptied {
 		return w.reg.Capacity
@@ -115,8 +118,8 @@
 	return w.free()
 }
 
-// tellWait logs why a task that has been without a worker for a while has none: how many
-// workers refuse it, by reason.
+// logWait logs why a task has been without a worker for waitLogDelay: the number of ineligible
+// workers by reason. It also calls Options.CountRefusal for each of these reasons.
 func (s *Shard) tellWait(j *jobState, c candidate, now time.Time) {
 	since := c.task.idleSince
 	if since.IsZero() {
--- a/shard/pace.go
+++ b/shard/pace.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// paceLook is how long a look waits at a worker where fillers run beside
-	// tasks that serve: the tails there shift within seconds.
+	// pacedPollWait is the longest time that a poll waits at a worker where fillers run beside
+	// serving tasks: the tail latencies there change within seconds.
 	paceLook = 250 * time.Millisecond
 
-	// paceDownAt and paceUpAt are the shares of its target at which the tail of
-	// a serving task makes the fillers beside it slower, and below which they
-	// get faster again. The tail is a rough figure over half a second.
+	// slowDownAt and speedUpAt are parts of a serving task's target: with a tail latency above
+	// slowDownAt the fillers beside the task are slowed down, below speedUpAt they are sped up
+	// again. The tail latency is a rough value over half a second.
 	paceDownAt = 0.85
 	paceUpAt   = 0.6
 
-	// paceDown divides the fillers' share, paceUp is added to it, in percent:
-	// down fast, since a tail over its target costs four times what a filler
-	// earns, and up slowly.
+	// slowDownDivisor divides the share of a filler, speedUpStep is added to it, in percent. A
+	// share falls fast, because a tail latency over its target costs four times what a filler
+	// earns, and rises slowly.
 	paceDown = 2
 	paceUp   = 10
 
-	// paceLeast is the share below which a filler is halted.
+	// minFillerShare is the share, in percent, below which a filler is halted instead of being
+	// slowed down further.
 	paceLeast = 10
 )
 
-// Paced takes in the answer to an order to pace.
+// HandlePaced handles the answer to a Pace order.
 func (s *Shard) Paced(pace Pace, err error) {
 	w, found := s.workers[pace.Worker.ID]
 	if !found {
@@ -39,17 +40,18 @@
 	}
 	r.pacing = false
 	if err != nil {
-		// The next look orders it again.
+		// The next poll orders it again.
 		r.share = sharedUnknown
-		s.opts.Report("pace failed", "task", pace.Task.String(), "worker", pace.Worker.ID, "percent", pace.Percent, "error", err.Error())
+		s.opts.Report("setting the pace failed", "task", pace.Task.String(), "worker", pace.Worker.ID, "percent", pace.Percent, "error", err.Error())
 	}
 }
 
-// sharedUnknown stands for a share that the worker may or may not have taken.
+// shareUnknown is the share of a filler whose last Pace order failed: the worker may or may not
+// have applied it.
 const sharedUnknown = -1
 
-// pace sets the share of the fillers on a worker by the tails of what serves
-// there.
+// paceFillers adjusts the shares of the fillers on a worker to the worst tail latency of the
+// serving tasks there.
 func (s *Shard) pace(w *workerState) {
 	worst := 0.0
 	serving := false
@@ -71,7 +73,8 @@
 	}
 }
 
-// paceOne orders a new share for a filler where the tails ask for it.
+// paceFiller orders a new share for a filler, if it changes. worst is the worst tail latency of
+// the serving tasks on the worker, as a part of its target; serving says that there are any.
 func (s *Shard) paceOne(w *workerState, r *run, worst float64, serving bool) {
 	if r.pacing {
 		return
--- a/shard/place.go
+++ b/shard/place.go
@@ -9,50 +9,53 @@
 )
 
 const (
-	// blameLimit is how many more failed ends than good ones a worker may show
-	// before it is used only where nothing else has room.
+	// excessFailureLimit is how many more failed runs than successful ones a worker may have
+	// before it is used only where no other worker has room.
 	blameLimit = 2
 
-	// drainReserve is how long before the end of a draining worker a task that
-	// saves its progress is stopped there, beyond the time of the stop itself.
+	// drainMargin is how long before the end of a draining worker a task that saves its progress
+	// is stopped there, in addition to the time that the stop takes.
 	drainReserve = 700 * time.Millisecond
 
-	// fullPercent is the share at which a lasting task counts as at work.
+	// fullPercent is the share, in percent, at which a long-running task counts as available. It
+	// is also the share of a filler that is not slowed down.
 	fullPercent = 100
 
-	// stuckAfter is how long a lasting task may be without a worker before a closed
-	// one is taken: new instances come within 1.8 s of their order, and the platform
-	// expects a lasting task to run again some 6 s after its last run.
+	// stuckAfter is how long a long-running task may be without a worker before a closed worker
+	// is used. New instances come within 1.8 s of their order, and the platform expects a
+	// long-running task to run again about 6 s after its last run.
 	stuckAfter = 2500 * time.Millisecond
 
-	// startBytes is what an order to start a task puts on the link beside its job's
-	// text: headers, names and numbers, reckoned from its form.
+	// startOverheadBytes is the size on the link of an order to start a task, without the text
+	// of its job: headers, names and numbers.
 	startBytes = 400
 
-	// lossMemory is for how long after a job was passed over until it was late the newest
-	// job goes first: about as long as an instance takes to come.
+	// newestFirstPeriod is how long the newest jobs are placed first after a waiting job could no
+	// longer end in time: about the time that a new instance takes to come.
 	lossMemory = 2 * time.Second
 
-	// lateFactor times a job's objective is when it stops earning anything; it
-	// is the platform's own figure.
+	// valueExpiryFactor is the multiple of its objective after which a job earns nothing, as the
+	// platform defines it.
 	lateFactor = 3
 
-	// expectSamples is how many run times must be known before they count.
+	// minRunTimeSamples is how many run times must be measured before they count in an
+	// expected run time.
 	expectSamples = 5
 
-	// speculateAfter is how many times its usual run time a task must have
-	// taken before a copy of it is started.
+	// stragglerFactor is the multiple of its usual run time after which a copy of a task is
+	// started.
 	speculateAfter = 2.0
 
-	// speculatePause is the time between two searches for stragglers.
+	// speculateInterval is the time between two searches for stragglers.
 	speculatePause = 100 * time.Millisecond
 
-	// speculateSamples is how many run times of an image must be known for it.
+	// minSpeculateSamples is how many run times of an image must be measured before copies of
+	// its tasks are started.
 	speculateSamples = 5
 )
 
-// Weights of the choice of a worker; the lowest sum wins. Only their order
-// matters: a hard reason outweighs every softer one.
+// Weights for the choice of a worker; the worker with the lowest sum is chosen. Only the order of
+// their sizes matters: a stronger reason outweighs all weaker ones.
 const (
 	weightFailedHere = 1000.0
 	weightBlamed     = 300.0
@@ -61,32 +64,32 @@
 	weightLoad       = 1.0
 )
 
-// group is the idle tasks of one step.
+// group holds the idle tasks of one step of an occurrence.
 type group struct {
 	job        *jobState
 	occurrence int
 	step       int
 	outlook    outlook
 
-	// newest says that of jobs that were not begun the newest goes first.
+	// newestFirst says that among jobs that have not started the newest is placed first.
 	newest bool
 }
 
-// outlook is what a job can still earn.
+// valueClass says what a job can still earn; a lower class is placed first.
 type outlook int
 
 const (
-	// outlookFull means that the job can end in time.
+	// valueFull means that the job can end in time.
 	outlookFull outlook = iota
 
-	// outlookLate means that it will be late, which earns a small part.
+	// valuePartial means that the job will be late and earns only a small part of its value.
 	outlookLate
 
-	// outlookNone means that it earns nothing any more; it still has to end.
+	// valueNone means that the job earns nothing any more; it still has to end.
 	outlookNone
 )
 
-// place starts the tasks that may start and fit, the most urgent first.
+// place starts the tasks that may start and fit, the most urgent ones first.
 func (s *Shard) place(now time.Time) {
 	s.lookForUnseen(now)
 	if len(s.waiting) == 0 {
@@ -99,8 +102,9 @@
 	s.placeAlone(groups, blind, now)
 }
 
-// placeGroups starts all of them but the tasks that are to run alone.
-func (s *Shard) placeGroups(groups []group, blind blindness, now time.Time) {
+// placeGroups starts the tasks of the groups, except isolated ones. It stops as soon as the
+// budget for start orders is used up.
+func (s *Shard) placeGroups(groups []group, unobserved blindness, now time.Time) {
 	var full []job.Room
 	for _, g := range groups {
 		if !s.startAt.IsZero() {
@@ -112,27 +116,29 @@
 			continue
 		}
 		if spec.Gang {
-			if !blind.hidesAny(g, step) {
+			if !unobserved.hidesAny(g, step) {
 				s.placeGang(g, step, spec, now)
 			}
 			continue
 		}
-		full = s.placeStep(g, step, spec, full, blind, now)
+		full = s.placeStep(g, step, spec, full, unobserved, now)
 	}
 }
 
-// placeStep starts the idle tasks of a step until none fits, but none that may run
-// unseen. It adds to what no worker has room for when that alone was the reason.
-func (s *Shard) placeStep(g group, step *stepState, spec *job.Step, full []job.Room, blind blindness, now time.Time) []job.Room {
+// placeStep starts the idle tasks of a step until none fits, except those that may have an unseen
+// run. It returns full, with the charge of the step added if lack of room alone can be the reason
+// that no worker took a task.
+func (s *Shard) placeStep(g group, step *stepState, spec *job.Step, full []job.Room, unobserved blindness, now time.Time) []job.Room {
 	choices := &picks{
 		shard: s,
 		now:   now,
 	}
-	// A task that starts leaves the list, and what stands after it was passed over.
+	// The list is walked from its end: a task that starts is removed from it, and the tasks
+	// behind it were skipped before.
 	for i := len(step.idle) - 1; i >= 0; i-- {
 		index := step.idle[i]
 		id := g.task(index)
-		if blind.hides(id) || s.held(step.tasks[index]) || step.tasks[index].crashed.Alone() {
+		if unobserved.hides(id) || s.held(step.tasks[index]) || step.tasks[index].crashed.Alone() {
 			continue
 		}
 		if !s.withinQuota(g.job, spec, 1) {
@@ -156,9 +162,9 @@
 	return full
 }
 
-// affords takes what orders to start tasks of a step put on the link. Where they have to
-// wait, everything less urgent does as well. Lasting tasks never wait: each second of one
-// counts, and they are few.
+// takeStartBudget charges orders to start tasks of a step to the link budget, and reports whether
+// they may be sent now. If not, nextStartAt is set, and less urgent tasks wait as well.
+// Long-running tasks never wait: every second without one counts, and they are few.
 func (s *Shard) affords(spec *job.Step, j *jobState, orders int, now time.Time) bool {
 	bytes := orders * (len(j.record.Spec.Text) + startBytes)
 	if s.opts.Starts.Take(bytes, now) || spec.Lasting {
@@ -168,9 +174,10 @@
 	return false
 }
 
-// groups returns what may start, the most urgent first. A job without idle
-// tasks leaves the set of those that wait.
-func (s *Shard) groups(now time.Time, blind bool) []group {
+// groups returns the groups of tasks that may start, the most urgent first. It removes jobs
+// without idle tasks from waiting. If unobserved is set, only fresh jobs are considered: any other
+// job may have unseen runs.
+func (s *Shard) groups(now time.Time, unobserved bool) []group {
 	var list []group
 	for id, j := range s.waiting {
 		idle := false
@@ -180,7 +187,7 @@
 					continue
 				}
 				idle = true
-				if !j.ready(k, st) || (blind && !j.fresh) {
+				if !j.ready(k, st) || (unobserved && !j.fresh) {
 					continue
 				}
 				list = append(list, group{
@@ -197,9 +204,9 @@
 	for i := range list {
 		list[i].outlook = s.outlookOf(list[i], now)
 	}
-	newest := s.watchLosses(list, now)
+	newestFirst := s.watchLosses(list, now)
 	for i := range list {
-		list[i].newest = newest
+		list[i].newest = newestFirst
 	}
 	sort.Slice(list, func(a, b int) bool {
 		return list[a].less(list[b])
@@ -216,8 +223,8 @@
 	}
 }
 
-// choose returns the best worker that can take the task now, or nil. A lasting task
-// that has been without a worker for long may also go to one that is closed.
+// choose returns the best worker for a task, or nil if none can take it now. A long-running task
+// that is stuck may also be placed on a closed worker.
 func (s *Shard) choose(id job.TaskID, spec *job.Step, t *taskState, now time.Time) *workerState {
 	if best := s.best(newCandidate(id, spec, t), now); best != nil {
 		return best
@@ -225,8 +232,8 @@
 	return s.chooseInNeed(id, spec, t, now)
 }
 
-// chooseInNeed returns the best worker, closed or not, for a lasting task that has been without
-// one for long, and nil for any other.
+// chooseForStuck returns the best worker, closed or not, for a long-running task that is stuck,
+// and nil for any other task.
 func (s *Shard) chooseInNeed(id job.TaskID, spec *job.Step, t *taskState, now time.Time) *workerState {
 	if !spec.Lasting || !t.isStuck(now) {
 		return nil
@@ -236,7 +243,7 @@
 	return s.best(c, now)
 }
 
-// best returns the best of the workers that take a task, or nil.
+// best returns the eligible worker with the lowest weight for a task, or nil.
 func (s *Shard) best(c candidate, now time.Time) *workerState {
 	var best *workerState
 	bestWeight := 0.0
@@ -253,7 +260,7 @@
 	return best
 }
 
-// weigh returns how bad a worker is for a task; lower is better.
+// weigh returns the weight of a worker for a task; lower is better.
 func (s *Shard) weigh(w *workerState, spec *job.Step, t *taskState) float64 {
 	weight := 0.0
 	for _, avoided := range t.avoid {
@@ -272,14 +279,15 @@
 		weight += weightDisturbs * float64(s.disturbed(w, spec.Filler))
 	}
 	if w.reg.Capacity.MilliCPU > 0 {
-		// Fuller workers first, so that others empty and can be moved.
+		// Prefer fuller workers, so that others become empty and their instances can be moved.
 		weight -= weightLoad * float64(w.used.MilliCPU) / float64(w.reg.Capacity.MilliCPU)
 	}
 	return weight
 }
 
-// disturbed counts the runs on a worker that a filler, or a task that serves,
-// would disturb or be disturbed by.
+// countInterfering returns how many runs on a worker would interfere with a new task, which is a
+// filler or a serving task. Serving tasks interfere with both kinds, fillers only with serving
+// tasks.
 func (s *Shard) disturbed(w *workerState, filler bool) int {
 	count := 0
 	for id := range w.runs {
@@ -295,13 +303,13 @@
 	return count
 }
 
-// start orders the start of a task on a worker.
+// start orders the start of a task on a worker, under the next run number of the task.
 func (s *Shard) start(j *jobState, t *taskState, spec *job.Step, id job.TaskID, w *workerState, now time.Time) {
 	t.lastRun = max(t.lastRun+1, (s.epoch-1)*runsPerEpoch+1)
 	s.startRun(j, t, spec, id, w, t.lastRun, now)
 }
 
-// startRun orders a run with a number that was chosen before.
+// startRun orders the start of a run with a given number.
 func (s *Shard) startRun(j *jobState, t *taskState, spec *job.Step, id job.TaskID, w *workerState, number int64, now time.Time) {
 	order := outside.StartOrder{
 		Task:       id,
--- a/shard/outlook.go
+++ b/shard/priority.go
@@ -6,13 +6,15 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// less orders by priority, lasting work first, then by what a job can still earn, then
-// jobs that were begun, then by deadline. Load pattern: more work than room for longer than
-// a job can wait. Going by the deadline there spends the room on jobs that are about to be
-// late; so once jobs are passed over until they are, the newest of those that were not
-// begun goes first. Of twice the room's work 0.26 was served in time by deadline alone and
-// 0.44 so, of a bound of 0.58 (lemonmeasure overload, means of two days). While no job is
-// lost the deadline decides: a turn that is a little over the room ends in time by it.
+// less reports whether g is placed before o. It compares, in this order: the priority,
+// long-running steps before others, the remaining value, started jobs before others, and the
+// deadline.
+//
+// Load pattern: there is more work than capacity for longer than a job can wait. Placing the
+// earliest deadline first then spends the capacity on jobs that are about to be late. So once
+// jobs miss their deadlines while they wait (newestFirst), the latest deadline comes first among
+// jobs that have not started and can still end in time. Otherwise the earliest deadline comes
+// first: a demand burst that is only a little above capacity then still ends in time.
 func (g group) less(o group) bool {
 	if g.job.policy.Priority != o.job.policy.Priority {
 		return g.job.policy.Priority < o.job.policy.Priority
@@ -42,8 +44,8 @@
 	return g.step < o.step
 }
 
-// watchLosses notes when a job was last passed over until it could not end in time any
-// more, and reports whether that was lately.
+// detectMisses records the time when a job that has not started can no longer end in time, and
+// reports whether the latest such time is within newestFirstPeriod.
 func (s *Shard) watchLosses(list []group, now time.Time) bool {
 	for _, g := range list {
 		switch {
@@ -58,13 +60,13 @@
 	return !s.lossAt.IsZero() && now.Sub(s.lossAt) < lossMemory
 }
 
-// outlookOf tells what a step's job can still earn if the step starts now.
+// remainingValue returns what a step's job can still earn if the step starts now.
 func (s *Shard) outlookOf(g group, now time.Time) outlook {
 	if g.job.record.Spec.Repeats > 0 || g.job.lasts() {
 		return outlookFull
 	}
-	accepted := g.job.record.accepted()
-	if now.Sub(accepted) > lateFactor*g.job.deadline.Sub(accepted) {
+	acceptedAt := g.job.record.accepted()
+	if now.Sub(acceptedAt) > lateFactor*g.job.deadline.Sub(acceptedAt) {
 		return outlookNone
 	}
 	if now.Add(s.remaining(g)).After(g.job.deadline) {
@@ -73,8 +75,8 @@
 	return outlookFull
 }
 
-// remaining returns how long the longest chain from a step to the end of its
-// job takes.
+// remainingTime returns the expected time from the start of a step to the end of its job: that
+// of the longest chain of dependent steps.
 func (s *Shard) remaining(g group) time.Duration {
 	steps := g.job.record.Spec.Steps
 	ends := make([]time.Duration, len(steps))
@@ -98,8 +100,8 @@
 	return longest
 }
 
-// expect returns how long a task of a step will take: the mean of its caller's
-// estimate, which may be far off, and of what tasks of its kind took.
+// expectedRunTime returns how long a task of a step is expected to run: the mean of the caller's
+// estimate, which may be far off, and of the measured run times of similar tasks.
 func (s *Shard) expect(j *jobState, spec *job.Step) time.Duration {
 	m := s.learned[measureKey(j, spec)]
 	if m == nil || m.count < expectSamples {
@@ -108,7 +110,8 @@
 	return (spec.Estimate + m.mean) / 2
 }
 
-// measureKey names the tasks that behave like those of a step.
+// runTimeKey returns the key under which run times of a step's tasks are measured: its image, or
+// the job's route where it has none.
 func measureKey(j *jobState, spec *job.Step) string {
 	if spec.Image != "" {
 		return spec.Image
@@ -116,7 +119,8 @@
 	return j.record.Route
 }
 
-// learn takes in how long a run of an image took.
+// recordRunTime adds the duration of a successful run to the moving mean of its image or route.
+// Runs that this owner did not start are ignored: it does not know when they began.
 func (s *Shard) learn(j *jobState, id job.TaskID, r *run, now time.Time) {
 	if r == nil || r.order.Run == 0 {
 		return
@@ -132,8 +136,7 @@
 	m.mean += time.Duration(weight * float64(now.Sub(r.began)-m.mean))
 }
 
-// speculate starts copies of tasks that take much longer than usual, where
-// the step allows it.
+// speculate starts copies of stragglers, where the step allows it.
 func (s *Shard) speculate(now time.Time) {
 	if now.Before(s.speculateAt) {
 		return
@@ -150,7 +153,7 @@
 				continue
 			}
 			t := j.task(id)
-			// A copy of a task that crashes its workers takes a second one with it.
+			// A copy of a task that crashes its workers would crash a second worker.
 			if t == nil || len(t.runs) != 1 || t.crashed.Suspect() || !s.withinQuota(j, spec, 1) {
 				continue
 			}
@@ -161,8 +164,8 @@
 	}
 }
 
-// overdue reports whether a run takes much longer than its estimate and what
-// was measured say.
+// isStraggler reports whether a run takes much longer than both its estimate and the measured
+// mean.
 func (s *Shard) overdue(j *jobState, spec *job.Step, r *run, now time.Time) bool {
 	m := s.learned[measureKey(j, spec)]
 	if m == nil || m.count < speculateSamples {
@@ -171,10 +174,11 @@
 	return now.Sub(r.began) > time.Duration(speculateAfter*float64(max(m.mean, spec.Estimate)))
 }
 
-// hopeless reports whether a need is at least one that no worker has room for.
-func hopeless(full []job.Room, need job.Room) bool {
-	for _, known := range full {
-		if need.Fits(known) {
+// fitsNowhere reports whether a need is at least as large as one of those in known, for which no
+// worker has room.
+func hopeless(known []job.Room, need job.Room) bool {
+	for _, smaller := range known {
+		if need.Fits(smaller) {
 			return true
 		}
 	}
--- a/shard/quota.go
+++ b/shard/quota.go
@@ -13,41 +13,43 @@
 	Share quota.Share
 	Limit job.Room
 
-	// Inherited is what owners of the service before this one may have running at the most.
+	// Inherited is the most that tasks started by previous owners of the service may use.
 	Inherited job.Room
 }
 
-// Usage is what this service uses of an organisation's limit.
+// Usage is the part of an organisation's limit that this service uses and could use.
 type Usage struct {
 	Organisation string
 
-	// Used is what may run, by what this owner has started and seen, and what it has not seen
-	// of owners before. Waiting is what could start if the quota allowed it.
+	// Used covers the runs that this owner has started or seen, and the runs of previous owners
+	// that it may not have seen yet. Waiting covers the tasks that only the quota keeps from
+	// starting.
 	Used    job.Room
 	Waiting job.Room
 }
 
-// usage is what is known of one organisation's tasks.
+// usage is what the runs and waiting tasks of one organisation take of its limit.
 type usage struct {
-	// used is what runs take, found what was seen of the runs of owners before, whether or not
-	// they have ended since.
+	// used covers the known runs. found covers the runs of previous owners that this owner has
+	// seen, including those that have ended since.
 	used  job.Room
 	found job.Room
 
-	// waiting is what the quota kept from starting when it was last looked at.
+	// waiting covers the tasks that the quota kept from starting in the last placement.
 	waiting job.Room
 }
 
-// unseen is where owners before may have something running that this one has not seen.
+// unseen describes the workers on which previous owners may have runs that this owner has
+// not seen.
 type unseen struct {
-	// any says that there is such a worker; room is what all of them have, unless unknown says
-	// that one's is not known.
+	// any says that there is such a worker. room is the total capacity of all of them, not valid
+	// if unknown says that the capacity of one is not known.
 	any     bool
 	unknown bool
 	room    job.Room
 }
 
-// Usages returns what the service uses of each organisation's limit, in order of their names.
+// Usages returns the usage of each organisation, sorted by name.
 func (s *Shard) Usages() []Usage {
 	list := make([]Usage, 0, len(s.usages))
 	for name, u := range s.usages {
@@ -68,7 +70,7 @@
 	return list
 }
 
-// quotaOf returns an organisation's quota; false where it has no limit.
+// quotaOf returns an organisation's quota, or false if it has no limit.
 func (s *Shard) quotaOf(organisation string) (Quota, bool) {
 	if organisation == "" || s.opts.Quota == nil {
 		return Quota{}, false
@@ -76,7 +78,7 @@
 	return s.opts.Quota(organisation)
 }
 
-// usageOf returns what is known of an organisation's tasks.
+// usageOf returns the usage of an organisation; it adds an empty one if there is none.
 func (s *Shard) usageOf(organisation string) *usage {
 	u, found := s.usages[organisation]
 	if !found {
@@ -86,7 +88,7 @@
 	return u
 }
 
-// chargeQuota notes that a run counts against the quota of its organisation.
+// chargeQuota counts a run against the quota of its organisation.
 func (s *Shard) chargeQuota(r *run, organisation string, need job.Room) {
 	r.organisation = organisation
 	r.need = need
@@ -100,7 +102,7 @@
 	}
 }
 
-// releaseQuota notes that a run has ended.
+// releaseQuota stops counting a run against the quota of its organisation.
 func (s *Shard) releaseQuota(r *run) {
 	if r.organisation != "" {
 		u := s.usageOf(r.organisation)
@@ -108,8 +110,8 @@
 	}
 }
 
-// lookForUnseen notes where something of owners before may run unseen, and forgets what the
-// quotas kept from starting.
+// refreshUnseen determines the workers that may have unseen runs of previous owners, and resets
+// the waiting usage of all organisations before a placement.
 func (s *Shard) lookForUnseen(now time.Time) {
 	s.unseen = unseen{}
 	for _, w := range s.workers {
@@ -125,22 +127,23 @@
 	}
 }
 
-// hidden returns what owners before may have running of an organisation that this one has not
-// seen: what they were allowed, less what was found, and no more than there is room for.
+// unseenUsage returns the most that unseen runs of previous owners may use of an organisation's
+// limit: what these owners were allowed, less what was found, and at most the capacity of the
+// workers that may have unseen runs.
 func (s *Shard) hidden(u *usage, q Quota) job.Room {
 	if !s.unseen.any {
 		return job.Room{}
 	}
-	hidden := q.Inherited.Sub(u.found).AtLeast(job.Room{})
+	unseenUsage := q.Inherited.Sub(u.found).AtLeast(job.Room{})
 	if s.unseen.unknown {
-		return hidden
+		return unseenUsage
 	}
-	return hidden.AtMost(s.unseen.room)
+	return unseenUsage.AtMost(s.unseen.room)
 }
 
-// withinQuota reports whether so many more tasks of a step may start by the quota of their
-// organisation. What may not is noted as waiting for it. A task that is larger than the whole
-// quota starts where nothing else of the organisation runs.
+// withinQuota reports whether the quota of the organisation lets count more tasks of a step start.
+// A task that is larger than the whole limit may start if nothing else of the organisation runs and
+// the service holds the whole limit.
 func (s *Shard) withinQuota(j *jobState, spec *job.Step, count int) bool {
 	q, bounded := s.quotaOf(j.record.Organisation)
 	if !bounded {
@@ -159,8 +162,8 @@
 }
 
 // exceedsQuota reports whether a job has a gang that is larger than the whole limit of its
-// organisation: its tasks only start together, and so never would. Other tasks start one at a
-// time.
+// organisation. The tasks of a gang only start together, so such a gang would never start. Other
+// tasks start one at a time.
 func (s *Shard) exceedsQuota(record Record) bool {
 	q, bounded := s.quotaOf(record.Organisation)
 	if !bounded {
@@ -177,7 +180,7 @@
 	return false
 }
 
-// waitForQuota notes that tasks of a step wait for the quota of their organisation.
+// waitForQuota records that count tasks of a step wait for the quota of their organisation.
 func (s *Shard) waitForQuota(j *jobState, spec *job.Step, count int) {
 	u := s.usageOf(j.record.Organisation)
 	u.waiting = u.waiting.Add(times(spec.Need, count))
--- a/shard/record.go
+++ b/shard/record.go
@@ -13,47 +13,47 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-// Record is the row of an accepted job, written by the entry that took it. It
-// never changes; it is removed when the job has ended.
+// Record is the row of an accepted job, written by the entry that accepted it. It never changes,
+// and is removed when the job has ended.
 type Record struct {
 	ID     string         `cbor:"1,keyasint"`
 	Route  string         `cbor:"2,keyasint"`
 	Policy catalog.Policy `cbor:"3,keyasint"`
 	Spec   job.Spec       `cbor:"4,keyasint"`
 
-	// AcceptedMillis is when an entry first read the job, since 1970.
+	// AcceptedMillis is when an entry first read the job, in Unix milliseconds.
 	AcceptedMillis int64 `cbor:"5,keyasint"`
 
-	// Organisation is whose quota the job's tasks count against; empty for none.
+	// Organisation is the organisation whose quota the job's tasks count against; empty for none.
 	Organisation string `cbor:"6,keyasint,omitempty"`
 }
 
-// Progress is the row of what has happened to a job, written by its owner.
+// Progress is the row that holds the state of a job and of its tasks, written by its owner.
 type Progress struct {
 	State job.State `cbor:"1,keyasint"`
 
-	// Route is the queue of the job, for counts after its record is removed.
+	// Route is the queue of the job. It allows counting the job after its record is removed.
 	Route string `cbor:"2,keyasint,omitempty"`
 
-	// Done maps OCCURRENCE.STEP to a bitmap of the tasks that ended well.
+	// Done maps OCCURRENCE.STEP to a bitmap of the tasks that have succeeded.
 	Done map[string][]byte `cbor:"3,keyasint,omitempty"`
 
-	// Failed maps OCCURRENCE.STEP.INDEX to the runs that failed, each once.
+	// Failed maps OCCURRENCE.STEP.INDEX to the numbers of the runs that failed, each once.
 	Failed map[string][]int64 `cbor:"4,keyasint,omitempty"`
 
-	// Crashed maps OCCURRENCE.STEP.INDEX to the workers that crashed under the task. A row
-	// of a version before has none.
+	// Crashed maps OCCURRENCE.STEP.INDEX to the workers that crashed while they ran the task.
+	// Rows written by earlier versions have none.
 	Crashed map[string][]string `cbor:"6,keyasint,omitempty"`
 
-	// Trials maps OCCURRENCE.STEP.INDEX to the workers that may have crashed under the
-	// task: nobody knew how its run there ended when the row was written.
+	// PossibleCrashes maps OCCURRENCE.STEP.INDEX to the workers that may have crashed while they
+	// ran the task: how the run there ended was not known when the row was written.
 	Trials map[string][]string `cbor:"7,keyasint,omitempty"`
 
-	// EndedMillis is when a final state was reached, since 1970.
+	// EndedMillis is when a final state was reached, in Unix milliseconds.
 	EndedMillis int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// DecodeProgress reads a row of progress.
+// DecodeProgress decodes a row written by Progress.Encode.
 func DecodeProgress(value []byte) (Progress, error) {
 	var p Progress
 	if err := cbor.Unmarshal(value, &p); err != nil {
@@ -62,27 +62,28 @@
 	return p, nil
 }
 
-// DecodeRecord reads the row of an accepted job.
+// DecodeRecord decodes a row written by Record.Encode. It also returns an error if the Spec in the
+// row is not valid.
 func DecodeRecord(value []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("row of a job: %w", err)
+		return r, fmt.Errorf("decode job record: %w", err)
 	}
 	return r, r.Spec.Check()
 }
 
-// Encode returns the row.
+// Encode returns the row in CBOR.
 func (p Progress) Encode() []byte {
 	return encode(p)
 }
 
-// Encode returns the row.
+// Encode returns the row in CBOR.
 func (r Record) Encode() []byte {
 	return encode(r)
 }
 
-// encode writes instants as text with their full precision: the library's usual
-// form cuts them to seconds, and a repeated job would start early.
+// encode returns a row in CBOR. Times are written as text in full precision: the default of the
+// library cuts them to seconds, and a repeated job would start early.
 func encode(value any) []byte {
 	mode, err := cbor.EncOptions{
 		Time: cbor.TimeRFC3339Nano,
@@ -92,13 +93,13 @@
 	}
 	body, err := mode.Marshal(value)
 	if err != nil {
-		// The rows hold only plain values, which always encode.
+		// Rows hold only plain values, whose encoding never fails.
 		panic(err)
 	}
 	return body
 }
 
-// progress returns the row of the job as it stands in memory.
+// progress returns the row of progress for the job's current state in memory.
 func (j *jobState) progress() Progress {
 	p := Progress{
 		State: j.state,
@@ -126,7 +127,8 @@
 	return p
 }
 
-// addTask adds what has happened to a task that has not ended well.
+// addTask adds the crashes and failed runs of a task that has not succeeded. Failed runs of
+// long-running tasks are not stored.
 func (p *Progress) addTask(key string, t *taskState, lasting bool) {
 	p.Crashed = withMarks(p.Crashed, key, t.crashed)
 	p.Trials = withMarks(p.Trials, key, t.trials)
@@ -139,7 +141,8 @@
 	p.Failed[key] = t.failed
 }
 
-// withMarks adds what a task is marked with, if anything, to a map of a row.
+// withMarks adds the marks of a task under key to a map of a row, and returns the map. A nil map
+// is created if there are marks.
 func withMarks(list map[string][]string, key string, marks suspect.Marks) map[string][]string {
 	if len(marks) == 0 {
 		return list
@@ -151,7 +154,7 @@
 	return list
 }
 
-// restore applies a row of progress to a job that was just built.
+// restore applies a row of progress to a newly built job.
 func (j *jobState) restore(p Progress) error {
 	for key, bits := range p.Done {
 		k, s, _, err := parseKey(key)
@@ -160,7 +163,7 @@
 		}
 		step := j.step(k, s)
 		if step == nil {
-			return fmt.Errorf("progress names step %s, which job %s does not have", key, j.record.ID)
+			return fmt.Errorf("progress refers to step %s, which job %s does not have", key, j.record.ID)
 		}
 		for i := range step.tasks {
 			if i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0 {
@@ -192,7 +195,8 @@
 	return nil
 }
 
-// taskAt returns the task that a row of progress names, building occurrences up to it.
+// taskByKey returns the task for a key of a row of progress. It builds missing occurrences up to
+// the one in the key.
 func (j *jobState) taskAt(key string) (*taskState, error) {
 	k, s, i, err := parseKey(key)
 	if err != nil {
@@ -200,12 +204,13 @@
 	}
 	step := j.step(k, s)
 	if step == nil || i < 0 || i >= len(step.tasks) {
-		return nil, fmt.Errorf("progress names task %s, which job %s does not have", key, j.record.ID)
+		return nil, fmt.Errorf("progress refers to task %s, which job %s does not have", key, j.record.ID)
 	}
 	return step.tasks[i], nil
 }
 
-// step returns a step of an occurrence, building occurrences up to it.
+// step returns a step of an occurrence, or nil if the job has no such step. It builds missing
+// occurrences up to the given one.
 func (j *jobState) step(occurrence, step int) *stepState {
 	if occurrence < 0 || occurrence >= j.record.Spec.Occurrences() || step < 0 || step >= len(j.record.Spec.Steps) {
 		return nil
@@ -216,6 +221,7 @@
 	return j.occurrences[occurrence].steps[step]
 }
 
+// doneBitmap returns the bitmap of the tasks that have succeeded, nil if there are none.
 func (s *stepState) doneBits() []byte {
 	if s.left == len(s.tasks) {
 		return nil
@@ -229,12 +235,14 @@
 	return bits
 }
 
+// parseKey splits a key of the form OCCURRENCE.STEP or OCCURRENCE.STEP.INDEX. The index is -1 if
+// the key has none.
 func parseKey(key string) (int, int, int, error) {
 	numbers := []int{0, 0, -1}
 	for i, part := range strings.Split(key, ".") {
 		number, err := strconv.Atoi(part)
 		if err != nil || i >= len(numbers) {
-			return 0, 0, 0, fmt.Errorf("progress names %q, which is no step or task", key)
+			return 0, 0, 0, fmt.Errorf("progress contains the invalid key %q", key)
 		}
 		numbers[i] = number
 	}
--- a/shard/refuse.go
+++ b/shard/refuse.go
@@ -9,62 +9,63 @@
 	"lemonstream.dev/lemonstream/backlog"
 )
 
-// A job that is turned away certainly does not run, unless it is handed in again. The
-// owner decides, and a row says so before a caller hears it. Its transaction holds up to
-// refusalsMost refusals, each under the condition that no record of the job stands; and an
-// entry that writes a record itself does so under the condition that no refusal stands, or
-// lifts one that it can tell to be older than its own try. So of a refusal and a record
-// one stands, whatever was sent before and arrives late. A call that arrives late at the
-// owner is told apart by when its entry read the job.
+// A refused job certainly does not run, unless it is submitted again. The owner decides on the
+// refusal and writes a row of it before a caller is told. The transaction holds up to
+// maxRefusalsPerBatch refusals, each under the condition that no record of the job is stored. An
+// entry that writes a record itself does so under the condition that no refusal is stored, or
+// removes one that is certainly older than its own attempt. So either a refusal or a record is
+// stored, never both, even if an earlier call arrives late. The owner recognises a late call by the
+// time when its entry read the job.
 
 const (
-	// refusalsMost bounds the refusals of one batch, so that accepted jobs and ends
-	// always have room in it.
+	// maxRefusalsPerBatch bounds the refusals of one batch, so that it always has room for
+	// accepted jobs and ended tasks.
 	refusalsMost = 24
 
-	// refusalEntries is what one refusal takes: its row, and the condition that no record
-	// stands.
+	// entriesPerRefusal is the number of entries of a transaction that one refusal takes: its
+	// row, and the condition that no record is stored.
 	refusalEntries = 2
 
-	// refusedFor is how long a refusal is kept: the store and the entries may carry out
-	// an earlier try up to 12 s and 2.5 s after it got no answer.
+	// refusalRetention is how long a refusal is kept. An earlier attempt without an answer may
+	// still be carried out up to 12 s later by the store, and up to 2.5 s later by an entry.
 	refusedFor = 20 * time.Second
 
-	// refusedMost bounds the refusals that are kept; beyond it none is given, and callers
-	// hear an answer that leaves open whether the job runs. It is 200 a second, the rate
-	// of transactions of a part of the store.
+	// maxRefusals bounds the refusals that are kept. Beyond it no job is refused, and callers get
+	// an answer that leaves open whether the job runs. Over refusalRetention it allows about 200
+	// refusals a second, the rate of transactions of one partition of the store.
 	refusedMost = 4096
 
-	// promptly is how old a refusal may be when its row stands for its caller to hear it.
-	// One that a slow store took longer to write tells too little of tries in between.
+	// maxAnswerAge is the maximum age of a refusal at which its caller is told of it once its row
+	// is stored. If a slow store took longer to write it, the job may have been submitted again
+	// in between.
 	promptly = tellTime / 2
 
-	// tellTime is how long after a refusal an entry may have read a job for that to be
-	// an earlier try: half of the time after which the caller comes back at the
-	// earliest. The clocks of entries may differ by a quarter of it.
+	// earlierAttemptWindow is how long after a refusal an entry may have read a job for this to
+	// count as an attempt from before the refusal. It is half of the shortest time after which
+	// the caller retries. The clocks of entries may differ by a quarter of it.
 	tellTime = backlog.ComeBackLeast / 2
 )
 
-// Refusal is the row of a job that was turned away.
+// Refusal is the row of a job that was refused.
 type Refusal struct {
-	// AtMillis is when, since 1970.
+	// AtMillis is when the job was refused, in Unix milliseconds.
 	AtMillis int64 `cbor:"1,keyasint"`
 
-	// FirstMillis is when an entry first read the job: its caller's patience counts from
-	// there, also once it has come back.
+	// FirstMillis is when an entry first read the job, in Unix milliseconds. The deadline of the
+	// job counts from then, also when the caller submits it again.
 	FirstMillis int64 `cbor:"2,keyasint"`
 }
 
-// Refused is a job that a batch turns away.
+// Refused is a job that a batch refuses.
 type Refused struct {
 	ID string
 	Refusal
 
-	// waiting is who waits for it.
+	// pending is the refusal that is answered once the batch is written.
 	waiting *refusing
 }
 
-// refusing is a job that is to be turned away once a row says so.
+// refusing is a job whose refusal is decided but whose row is not stored yet.
 type refusing struct {
 	id       string
 	first    int64
@@ -72,32 +73,32 @@
 	done     []func(Answer)
 }
 
-// DecodeRefusal reads the row of a refusal.
+// DecodeRefusal decodes a row written by Refusal.Encode.
 func DecodeRefusal(value []byte) (Refusal, error) {
 	var r Refusal
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("row of a refusal: %w", err)
+		return r, fmt.Errorf("decode refusal: %w", err)
 	}
 	return r, nil
 }
 
-// Encode returns the row.
+// Encode returns the row in CBOR.
 func (r Refusal) Encode() []byte {
 	return encode(r)
 }
 
-// Covers reports whether an entry read a job before its caller can have come back from
-// the refusal.
+// Covers reports whether an entry read a job so early that its caller cannot have been told of the
+// refusal and retried. The record then belongs to an attempt from before the refusal.
 func (r Refusal) Covers(record Record) bool {
 	return record.accepted().Before(time.UnixMilli(r.AtMillis).Add(tellTime))
 }
 
-// isPrompt reports whether a caller may hear of the refusal now.
+// isAnswerable reports whether a caller may still be told of the refusal now.
 func (r Refusal) isPrompt(now time.Time) bool {
 	return now.Sub(time.UnixMilli(r.AtMillis)) <= promptly
 }
 
-// refuse turns a job away once a row says so.
+// refuse refuses a job. done is called once the row of the refusal is stored or given up.
 func (s *Shard) refuse(record Record, verdict backlog.Verdict, now time.Time, done func(Answer)) {
 	work, starts := s.survey.within(verdict.Wait)
 	s.opts.Report("job turned away", "job", record.ID, "route", record.Route, "instances", s.most,
@@ -114,8 +115,8 @@
 	s.refusing = append(s.refusing, r)
 }
 
-// answerRefused deals with a job that is handed in and was, or is about to be, turned
-// away; it reports false where it is to be decided on.
+// answerIfRefused handles a submitted job that was refused before or has a pending refusal. It
+// returns false if the job still has to be decided on.
 func (s *Shard) answerRefused(record Record, now time.Time, done func(Answer)) bool {
 	if r, found := s.deciding[record.ID]; found {
 		r.done = append(r.done, done)
@@ -132,7 +133,7 @@
 	return true
 }
 
-// firstRead returns when an entry first read a job, as far as is known.
+// firstReadMillis returns the earliest known time when an entry read a job, in Unix milliseconds.
 func (s *Shard) firstRead(record Record) int64 {
 	refusal, found := s.refused[record.ID]
 	if !found || refusal.FirstMillis == 0 {
@@ -141,14 +142,14 @@
 	return min(refusal.FirstMillis, record.AcceptedMillis)
 }
 
-// RestoreRefusal takes in a refusal of an earlier owner.
+// RestoreRefusal adds a stored refusal, such as one of a previous owner.
 func (s *Shard) RestoreRefusal(id string, r Refusal) {
 	s.refused[id] = r
 	s.refusals = append(s.refusals, id)
 }
 
-// takeRefusals moves refusals into a batch, and the names of rows that are needed no
-// more. It returns the entries that they take.
+// addRefusals moves pending refusals into a batch, and the IDs of jobs whose stored refusals have
+// expired. It returns the number of transaction entries that they take.
 func (s *Shard) takeRefusals(b *Batch, entries int, now time.Time) int {
 	taken := 0
 	for len(s.refusals) > 0 && taken < entries {
@@ -164,8 +165,8 @@
 			taken++
 		}
 	}
-	most := min(len(s.refusing), refusalsMost, (entries-taken)/refusalEntries)
-	for _, r := range s.refusing[:most] {
+	count := min(len(s.refusing), refusalsMost, (entries-taken)/refusalEntries)
+	for _, r := range s.refusing[:count] {
 		b.Refused = append(b.Refused, Refused{
 			ID: r.id,
 			Refusal: Refusal{
@@ -175,11 +176,12 @@
 			waiting: r,
 		})
 	}
-	s.refusing = s.refusing[most:]
-	return taken + refusalEntries*most
+	s.refusing = s.refusing[count:]
+	return taken + refusalEntries*count
 }
 
-// refusalsWritten takes in that the refusals of a batch stand.
+// confirmRefusals records that the refusals of a batch are stored, and answers those who wait for
+// them.
 func (s *Shard) refusalsWritten(b Batch, now time.Time) {
 	for _, r := range b.Refused {
 		s.RestoreRefusal(r.ID, r.Refusal)
@@ -190,14 +192,14 @@
 	}
 }
 
-// undoRefusals takes back refusals that were not written. A job whose record stands is
-// taken.
-func (s *Shard) undoRefusals(b Batch, stand map[string]Existing, now time.Time) {
+// undoRefusals reverts the refusals of a batch that was not written. A job whose record is stored
+// is accepted instead.
+func (s *Shard) undoRefusals(b Batch, existing map[string]Existing, now time.Time) {
 	for _, id := range b.Lifted {
 		s.RestoreRefusal(id, Refusal{})
 	}
 	for _, r := range b.Refused {
-		e, found := stand[r.ID]
+		e, found := existing[r.ID]
 		if !found {
 			s.refusing = append(s.refusing, r.waiting)
 			continue
@@ -209,8 +211,8 @@
 	}
 }
 
-// DropRefusals lets go of those that no batch holds, because the store takes nothing: the
-// jobs were not taken, but nothing says so for good.
+// DropPendingRefusals answers the pending refusals that no batch holds, because the store takes no
+// writes. The jobs were not accepted, but the answer is no refusal, as no row is stored.
 func (s *Shard) DropRefusals() {
 	for _, r := range s.refusing {
 		s.answer(r, Answer{})
@@ -218,7 +220,7 @@
 	s.refusing = nil
 }
 
-// answer tells everybody who waits for a refusal what became of the job.
+// answerPending sends the outcome to every call that waits for a pending refusal.
 func (s *Shard) answer(r *refusing, a Answer) {
 	delete(s.deciding, r.id)
 	for _, done := range r.done {
