--- a/shard/pace.go
+++ b/shard/pace.go
@@ -28,7 +28,7 @@
 	paceLeast = 10
 )
 
-// HandlePaced handles the answer to a Pace order.
+// Paced handles the answer to a Pace order.
 func (s *Shard) Paced(pace Pace, err error) {
 	w, found := s.workers[pace.Worker.ID]
 	if !found {
