--- a/shard/eligibility.go
+++ b/shard/eligibility.go
@@ -48,11 +48,11 @@
 	// or its state is not known.
 	refusedUnusable refusal = "unusable"
 
-	// takes means that the worker can take the task.
+	// eligible means that the worker can take the task.
 	takes refusal = ""
 )
 
-// eligibility is the reason why a worker cannot take a task, or takes if it can.
+// eligibility is the reason why a worker cannot take a task, or eligible if it can.
 type refusal string
 
 // candidate is a task for which a worker is searched.
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkEligibility returns why a worker cannot take a task now, or takes if it can. Reasons that
-// are quick to check come first: most workers of a busy service are full. Only this function
+// checkEligibility returns why a worker cannot take a task now, or eligible if it can. Reasons
+// that are quick to check come first: most workers of a busy service are full. Only this function
 // decides: placement, gangs, moves of tasks and reservations of workers all call it.
 func (s *Shard) refuses(w *workerState, c candidate, now time.Time) refusal {
 	switch {
--- a/shard/latency.go
+++ b/shard/latency.go
@@ -16,7 +16,7 @@
 	pulseWeight = 8
 )
 
-// pulse is a moving mean of the time from the order of a start until this owner processes
+// answerLatency is a moving mean of the time from the order of a start until this owner processes
 // the answer. An owner without processor time processes answers late or not at all, and must not
 // blame its workers for the delay.
 type pulse struct {
--- a/shard/priority.go
+++ b/shard/priority.go
@@ -60,7 +60,8 @@
 	return !s.lossAt.IsZero() && now.Sub(s.lossAt) < lossMemory
 }
 
-// remainingValue returns what a step's job can still earn if the step starts now.
+// remainingValue returns what a step's job can still earn if the step starts now. Repeated and
+// long-running jobs have no deadline and always keep their full value.
 func (s *Shard) outlookOf(g group, now time.Time) outlook {
 	if g.job.record.Spec.Repeats > 0 || g.job.lasts() {
 		return outlookFull
