--- a/shard/record.go
+++ b/shard/record.go
@@ -67,7 +67,7 @@
 func DecodeRecord(value []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("decode job record: %w", err)
+		return r, fmt.Errorf("row of a job: %w", err)
 	}
 	return r, r.Spec.Check()
 }
