--- a/shard/advice_test.go
+++ b/shard/advice_test.go
@@ -11,7 +11,7 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// advised submits a job of a queue whose steps only some workers may run.
+// submitAdvised submits a job whose steps may only start on workers with a ticket.
 func (w *world) advised(id string, steps ...job.Step) {
 	w.policy.Advised = true
 	w.submit(id, steps...)
@@ -23,7 +23,7 @@
 	w.run(200 * time.Millisecond)
 	w.advised("a", step(2))
 	w.run(300 * time.Millisecond)
-	is.Equal(len(w.asks), 1) // One question a step, and no start before its answer.
+	is.Equal(len(w.asks), 1) // One ticket request per step, and no start before its answer.
 	for _, f := range w.workers {
 		is.Equal(len(f.runs), 0)
 	}
@@ -34,7 +34,7 @@
 		Valid: 3 * time.Second,
 	}, nil, w.now)
 	w.run(200 * time.Millisecond)
-	is.Equal(len(w.workers["w1"].runs), 2) // Only the named worker may run it.
+	is.Equal(len(w.workers["w1"].runs), 2) // Only the worker with a ticket may run the step.
 	is.Equal(w.workers["w1"].tickets, 2)
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
@@ -57,7 +57,7 @@
 		},
 		Valid: 400 * time.Millisecond,
 	}, nil, w.now)
-	w.run(3 * time.Second) // The worker was full until the ticket had ended.
+	w.run(3 * time.Second) // The worker was full until the ticket had expired.
 	is.True(len(w.asks) > 1)
 }
 
@@ -76,24 +76,25 @@
 	})
 }
 
-// TestAdviceHoldsOfOneIncarnation lets a worker that may not run a step start again as another
-// kind that may, before the answer comes and after it, and be taken and be back. The answer was
-// kept by the worker's id and counts for good: the job waited for ever.
+// TestTicketsApplyToOneIncarnation restarts a worker that may not run a step, with or without an
+// order that ends its instance, before or after the answer to the ticket request. The next
+// incarnation may run the step. A denial was stored by the worker's id and never dropped, so the
+// job waited forever.
 func TestAdviceHoldsOfOneIncarnation(t *testing.T) {
-	again := func(w *world) { w.startAgain(w.workers["w0"], 100*time.Millisecond) }
-	taken := func(w *world) {
+	restart := func(w *world) { w.startAgain(w.workers["w0"], 100*time.Millisecond) }
+	endInstance := func(w *world) {
 		w.core.End([]string{w.workers["w0"].reg.Incarnation().String()}, w.now)
-		again(w)
+		restart(w)
 	}
-	refuse := func(w *world) {
+	deny := func(w *world) {
 		w.core.Advised(w.asks[0], outside.Tickets{}, nil, w.now)
 	}
-	for name, day := range map[string][]func(w *world){
-		"starts again before the answer":       {again, refuse},
-		"starts again after the answer":        {refuse, again},
-		"is taken and back before the answer":  {taken, refuse},
-		"is taken and back after the answer":   {refuse, taken},
-		"starts again twice before the answer": {again, again, refuse},
+	for name, events := range map[string][]func(w *world){
+		"starts again before the answer":       {restart, deny},
+		"starts again after the answer":        {deny, restart},
+		"is taken and back before the answer":  {endInstance, deny},
+		"is taken and back after the answer":   {deny, endInstance},
+		"starts again twice before the answer": {restart, restart, deny},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -102,8 +103,8 @@
 			w.advised("a", step(1))
 			w.run(100 * time.Millisecond)
 			is.Equal(len(w.asks), 1)
-			for _, what := range day {
-				what(w)
+			for _, event := range events {
+				event(w)
 				w.run(time.Second)
 			}
 			for _, ask := range w.asks[1:] {
--- a/shard/alone_measure_test.go
+++ b/shard/alone_measure_test.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	// aloneSeedsVariable names the environment variable with the number of days to measure.
+	// aloneSeedsVariable names the environment variable with the number of simulation runs.
 	aloneSeedsVariable = "ALONE_SEEDS"
 	defaultAloneSeeds  = 4
 
-	// waitMost is the longest that a task may wait for a worker of its own.
+	// maxIsolationWait is the longest that a task may wait for a dedicated worker.
 	waitMost = 15 * time.Second
 
-	// aloneJobs is the number of jobs of a day, of four tasks each.
+	// isolationJobs is the number of jobs in a simulation run, with four tasks each.
 	aloneJobs = 250
 )
 
-// aloneDay is what one measured day came to.
+// isolationStats holds the results of one or more simulation runs.
 type aloneDay struct {
+	// crashes holds the number of workers that each culprit crashed, waits how long each
+	// isolated task waited for a dedicated worker.
 	crashes []int
 	waits   []time.Duration
 
-	// given counts the innocent jobs that were given up, open those that had not ended.
+	// failed counts the bystander jobs that were given up, unfinished those that had not ended.
 	given, open int
 }
 
-// TestWaitsForAWorkerOfOnesOwn measures days on pools of 4 to 30 workers that shrink and
-// grow, lasting tasks on most of them, 1 to 30 culprits among a thousand tasks, crashes of
-// three workers in ten at a time, takeovers and owners that live on for a while. On every
-// second day workers that crash start again under their ids. ALONE_SEEDS sets the number of
-// days.
+// TestWaitsForAWorkerOfOnesOwn measures how long isolated tasks wait for a dedicated worker. Each
+// simulation run has a pool of 4 to 30 workers that shrinks and grows, long-running tasks on most
+// of them, and 1 to 30 culprits among a thousand tasks. Three workers in ten crash at a time, and
+// owners are replaced, some of which stay active for a while. In every second run, crashed workers
+// restart under their ids. ALONE_SEEDS sets the number of runs.
 func TestWaitsForAWorkerOfOnesOwn(t *testing.T) {
 	seeds := defaultAloneSeeds
 	if text := os.Getenv(aloneSeedsVariable); text != "" {
@@ -48,11 +50,11 @@
 	}
 	var all aloneDay
 	for seed := range uint64(seeds) {
-		day := measureWaits(t, seed)
-		all.crashes = append(all.crashes, day.crashes...)
-		all.waits = append(all.waits, day.waits...)
-		all.given += day.given
-		all.open += day.open
+		stats := measureWaits(t, seed)
+		all.crashes = append(all.crashes, stats.crashes...)
+		all.waits = append(all.waits, stats.waits...)
+		all.given += stats.given
+		all.open += stats.open
 	}
 	slices.Sort(all.crashes)
 	slices.Sort(all.waits)
@@ -60,14 +62,14 @@
 		seeds, len(all.crashes), all.crashes[len(all.crashes)/2], slices.Max(all.crashes), all.given, all.open,
 		len(all.waits), share(all.waits, 0.5).Milliseconds(), share(all.waits, 0.99).Milliseconds(), share(all.waits, 1).Milliseconds())
 	if all.open > 0 {
-		t.Errorf("%d innocent jobs have not ended", all.open)
+		t.Errorf("%d bystander jobs have not ended", all.open)
 	}
 	if most := share(all.waits, 1); most > waitMost {
-		t.Errorf("a task waited %v for a worker of its own", most)
+		t.Errorf("a task waited %v for a dedicated worker", most)
 	}
 }
 
-// share returns the value below which the given share of a sorted list lies.
+// quantile returns the value below which the given part of a sorted list lies.
 func share(sorted []time.Duration, part float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -75,16 +77,16 @@
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
 }
 
-// measureWaits plays one day.
+// simulateIsolation does one simulation run.
 func measureWaits(t *testing.T, seed uint64) aloneDay {
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 2))
-	var day aloneDay
+	var stats aloneDay
 	count := 4 + draw.IntN(27)
 	w := newWorld(count)
 	w.report = func(event string, fields ...any) {
 		if event == "suspect waits no more" {
-			day.waits = append(day.waits, time.Duration(waitedMillis(fields))*time.Millisecond)
+			stats.waits = append(stats.waits, time.Duration(waitedMillis(fields))*time.Millisecond)
 		}
 	}
 	w.lenient = true
@@ -95,12 +97,12 @@
 	spread.PerWorker = 1
 	w.submit("lasting", spread)
 	w.run(3 * time.Second)
-	bad := draw.Perm(aloneJobs)[:1+draw.IntN(30)]
+	culpritJobs := draw.Perm(aloneJobs)[:1+draw.IntN(30)]
 	for i := range aloneJobs {
 		id := fmt.Sprintf("j%d", i)
 		s := step(4)
 		s.Estimate = time.Duration(300+draw.IntN(900)) * time.Millisecond
-		if slices.Contains(bad, i) {
+		if slices.Contains(culpritJobs, i) {
 			w.culprits[job.TaskID{
 				Job:   id,
 				Index: draw.IntN(4),
@@ -113,31 +115,31 @@
 	w.run(2 * time.Minute)
 	w.check(t)
 	for id, state := range w.shown {
-		culprit := 0
+		culpritTasks := 0
 		for task := range w.culprits {
 			if task.Job == id {
-				culprit++
+				culpritTasks++
 			}
 		}
 		switch {
-		case culprit > 0 || id == "lasting":
+		case culpritTasks > 0 || id == "lasting":
 		case state == job.Failed:
-			day.given++
+			stats.given++
 		case state != job.Completed:
-			day.open++
+			stats.open++
 		}
 	}
 	for task := range w.culprits {
-		day.crashes = append(day.crashes, w.crashes[task])
+		stats.crashes = append(stats.crashes, w.crashes[task])
 	}
-	return day
+	return stats
 }
 
-// disturb lets the pool and its owner change now and then, and three workers in ten crash
-// twice a day.
+// injectFaults replaces the owner or an idle worker in some rounds. After one third and after two
+// thirds of the jobs, three workers in ten crash.
 func disturb(w *world, draw *rand.Rand, round int) {
-	names := w.names()
-	f := w.workers[names[draw.IntN(len(names))]]
+	workerIDs := w.names()
+	f := w.workers[workerIDs[draw.IntN(len(workerIDs))]]
 	switch draw.IntN(60) {
 	case 0:
 		w.takeOver()
@@ -153,14 +155,14 @@
 	if round != aloneJobs/3 && round != 2*aloneJobs/3 {
 		return
 	}
-	for i, id := range names {
+	for i, id := range workerIDs {
 		if i%10 < 3 {
 			w.crashUnder(w.workers[id])
 		}
 	}
 }
 
-// runsOf returns what runs on a worker.
+// runningTasks returns the tasks that run on a worker.
 func (w *world) runsOf(f *fakeWorker) []job.TaskID {
 	list := make([]job.TaskID, 0, len(f.runs))
 	for id := range f.runs {
@@ -169,7 +171,7 @@
 	return list
 }
 
-// waitedMillis returns how long a wait took by the fields of its line.
+// waitedMillis returns the waited_ms field of a log line, or 0 if there is none.
 func waitedMillis(fields []any) int64 {
 	for i := 0; i+1 < len(fields); i += 2 {
 		if ms, found := fields[i+1].(int64); found && fields[i] == "waited_ms" {
--- a/shard/alone_test.go
+++ b/shard/alone_test.go
@@ -9,11 +9,11 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// waitBound is how long a task may wait for a worker of its own and for its start, where no
-// worker empties and none comes: the limit of the wait, and what a start takes.
+// waitBound is how long an isolated task may wait until it runs when no worker becomes empty and
+// none is added: the limit of the wait for a dedicated worker, and the time that a start takes.
 const waitBound = 10 * time.Second
 
-// crashTwice lets the worker under a job's only task crash twice, for no task's sake.
+// crashTwice crashes the worker of a job's only task twice, for a cause other than the task.
 func crashTwice(w *world, id string) {
 	for range 2 {
 		for len(holderOf(w, id)) == 0 {
@@ -25,16 +25,11 @@
 	}
 }
 
-// TestInnocentDoesNotWaitForEverForAWorkerOfItsOwn covers a task that was on two workers as
-// they crashed for another cause. It starts on an empty worker only from then on, and there
-// was none: each held a lasting task that never ends. Nothing moved that, no instance was
-// asked for, since the pool saw free room, and the job never ran again:
-//
-//	17.599 crash marked crashes=2
-//	17.629 suspect waits for a worker of its own kept=4 workers=20
-//	29.770 worker kept for a suspect runs=1
-//
-// It had not started by 51 s, when the day ended.
+// TestIsolatedTaskWaitIsBounded covers a task that was on two workers when they crashed for another
+// cause. From then on the task started on an empty worker only, and there was none: each worker
+// ran a long-running task. Nothing moved these tasks, and no instance was requested, since the
+// pool saw free capacity. The task waited from its second crash until the end of the simulation
+// run, more than 30 s later.
 func TestInnocentDoesNotWaitForEverForAWorkerOfItsOwn(t *testing.T) {
 	for name, perWorker := range map[string]int{
 		"lasting tasks can be moved":    0,
@@ -49,7 +44,7 @@
 			filler := lasting(3, 1)
 			filler.PerWorker = 1
 			w.submit("lasting", filler)
-			w.run(3 * time.Second) // Beyond doubt.
+			w.run(3 * time.Second) // From here on, crashes no longer count against these tasks.
 			if perWorker != 1 {
 				spread := lasting(3, 1)
 				spread.PerWorker = perWorker
@@ -73,8 +68,8 @@
 	}
 }
 
-// TestInstanceIsAskedForWhereATaskIsToRunAlone holds that a waiting task asks for the room
-// of a whole worker, which the pool takes for any other need.
+// TestIsolatedTaskAddsAWholeWorkerToTheLoad checks that an isolated task that waits adds the
+// capacity of a whole worker to the reported load, so that the pool adds an instance.
 func TestInstanceIsAskedForWhereATaskIsToRunAlone(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -93,9 +88,9 @@
 	is.Equal(w.core.Load(w.now).Waiting.MilliCPU, 4000+long.Charge().MilliCPU)
 }
 
-// TestLastingTaskIsNotSentToAWorkerThatRefusesIt covers a closed worker with a lasting task
-// beside one on which a task runs alone. That has room and takes nothing: counted as a place,
-// it had the lasting task stopped, which then ran nowhere.
+// TestDedicatedWorkerIsNoEvictionTarget covers a closed worker with a long-running task beside the
+// dedicated worker of an isolated task. The dedicated worker has free capacity but accepts no task.
+// It was counted as a place for the long-running task, which was stopped and then ran nowhere.
 func TestLastingTaskIsNotSentToAWorkerThatRefusesIt(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -116,19 +111,19 @@
 		w.run(100 * time.Millisecond)
 	}
 	is.Equal(len(holderOf(w, "lasting")), 1)
-	is.Equal(starts(w), 4) // Three of the task that runs alone, and this one.
+	is.Equal(starts(w), 4) // Three starts of the isolated task, and one of the long-running task.
 	w.check(t)
 }
 
-// TestWhyATaskWaitsIsTold holds that the log says why a task has no worker, and that a counter
-// tells for how long.
+// TestWaitReasonsAreReported checks that the log says why a task has no worker, and that a counter
+// counts the seconds of the wait by reason.
 func TestWhyATaskWaitsIsTold(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
-	var told []any
+	var reported []any
 	w.report = func(event string, fields ...any) {
 		if event == "task waits" {
-			told = fields
+			reported = fields
 		}
 	}
 	w.run(200 * time.Millisecond)
@@ -141,9 +136,9 @@
 	w.run(500 * time.Millisecond)
 	w.submit("a", labelled)
 	w.run(4 * time.Second)
-	is.True(len(told) > 0)
-	is.Equal(told[len(told)-6:], []any{"workers", 3, "label", 2, "room", 1})
-	// Told after 2, 3 and 4 s.
+	is.True(len(reported) > 0)
+	is.Equal(reported[len(reported)-6:], []any{"workers", 3, "label", 2, "room", 1})
+	// Reported after 2, 3 and 4 s.
 	is.Equal(w.refusedFor, map[string]int{
 		"label": 3,
 		"room":  3,
--- a/shard/availability_test.go
+++ b/shard/availability_test.go
@@ -17,29 +17,28 @@
 )
 
 const (
-	// availabilityVariable names the environment variable with the number of days to play
-	// for each kind of trouble.
+	// availabilityVariable names the environment variable with the number of simulation runs
+	// for each kind of fault.
 	availabilityVariable = "AVAILABILITY_DAYS"
 	availabilityDays     = 2
 
-	// dayRounds is how many times a day draws what happens next, some 300 ms apart;
-	// guardRounds that of a short one.
+	// simulationRounds is the number of rounds in a simulation run. A round takes some 300 ms
+	// and may begin or end faults. guardRounds is the number of rounds in a short run.
 	dayRounds   = 100
 	guardRounds = 10
 )
 
-// dayTrouble is one kind of trouble of a day; begin is drawn now and then, end with it ends
-// what began.
+// faultKind is one kind of fault. inject begins a fault, clearFaults ends it.
 type dayTrouble struct {
 	name  string
 	begin func(w *world, h *holder, draw *rand.Rand)
 }
 
-// dayTroubles are what days are made of.
+// faultKinds returns every kind of fault that a simulation run may inject.
 func dayTroubles() []dayTrouble {
-	some := func(w *world, draw *rand.Rand) *fakeWorker {
-		names := w.names()
-		return w.workers[names[draw.IntN(len(names))]]
+	randomWorker := func(w *world, draw *rand.Rand) *fakeWorker {
+		workerIDs := w.names()
+		return w.workers[workerIDs[draw.IntN(len(workerIDs))]]
 	}
 	return []dayTrouble{
 		{name: "calm", begin: func(*world, *holder, *rand.Rand) {}},
@@ -52,10 +51,10 @@
 		{name: "late looks", begin: func(w *world, _ *holder, draw *rand.Rand) {
 			w.loseLooks = time.Duration(1+draw.IntN(30)) * 100 * time.Millisecond
 		}},
-		{name: "silent workers", begin: func(w *world, _ *holder, draw *rand.Rand) { some(w, draw).cut = true }},
-		{name: "crashes", begin: func(w *world, _ *holder, draw *rand.Rand) { w.crashUnder(some(w, draw)) }},
-		{name: "unhealthy workers", begin: func(w *world, _ *holder, draw *rand.Rand) { some(w, draw).unhealthy = true }},
-		{name: "deaf workers", begin: func(w *world, _ *holder, draw *rand.Rand) { some(w, draw).deaf = 1 }},
+		{name: "silent workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).cut = true }},
+		{name: "crashes", begin: func(w *world, _ *holder, draw *rand.Rand) { w.crashUnder(randomWorker(w, draw)) }},
+		{name: "unhealthy workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).unhealthy = true }},
+		{name: "deaf workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).deaf = 1 }},
 		{name: "instance orders without answers", begin: func(_ *world, h *holder, draw *rand.Rand) {
 			h.loseOrders = true
 			h.lateOrders = time.Duration(draw.IntN(9)) * 100 * time.Millisecond
@@ -68,7 +67,7 @@
 	}
 }
 
-// calmDown ends what troubles began.
+// clearFaults ends the faults that are in effect.
 func calmDown(w *world, h *holder) {
 	for _, f := range w.workers {
 		f.cut = false
@@ -81,28 +80,29 @@
 	h.announces = 2 * tick
 }
 
-// TestAvailabilityUnderTroubles lets pools follow turns of demand, and a wave of maintenance,
-// under lasting tasks, with one kind of trouble or all of them. No order ends one task of a
-// step more than it may miss.
+// TestAvailabilityUnderFaults simulates bursts of demand and a maintenance wave on a pool with
+// long-running tasks, with one kind of fault or all of them. No order may make more tasks of a
+// step unavailable than the step may miss.
 func TestAvailabilityUnderTroubles(t *testing.T) {
-	days := availabilityDays
+	runs := availabilityDays
 	if text := os.Getenv(availabilityVariable); text != "" {
 		var err error
-		if days, err = strconv.Atoi(text); err != nil {
+		if runs, err = strconv.Atoi(text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	troubles := dayTroubles()
-	for _, one := range troubles {
-		t.Run(strings.ReplaceAll(one.name, " ", "-"), func(t *testing.T) {
-			playDays(t, days, []dayTrouble{one})
+	kinds := dayTroubles()
+	for _, kind := range kinds {
+		t.Run(strings.ReplaceAll(kind.name, " ", "-"), func(t *testing.T) {
+			playDays(t, runs, []dayTrouble{kind})
 		})
 	}
-	t.Run("all", func(t *testing.T) { playDays(t, days, troubles) })
+	t.Run("all", func(t *testing.T) { playDays(t, runs, kinds) })
 }
 
-// TestWhoIsAtWorkCarriesAvailability shows that the days above tell when a guard is away: owners
-// that take every run that a worker lists for one at work.
+// TestWhoIsAtWorkCarriesAvailability checks that the simulation above detects a missing guard: the
+// percentage by which a worker reports how far a run is available. Without the guard, workers
+// report every run as fully available.
 func TestWhoIsAtWorkCarriesAvailability(t *testing.T) {
 	prove.Guard(t, prove.Budget, "percent-says-who-is-at-work", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
@@ -112,24 +112,24 @@
 	})
 }
 
-func playDays(t *testing.T, days int, troubles []dayTrouble) {
+func playDays(t *testing.T, runs int, kinds []dayTrouble) {
 	t.Helper()
-	stops, taken, broken := 0, 0, 0
-	for seed := range uint64(days) {
-		w := availabilityDay(seed, dayRounds, troubles, func(*world) {})
+	stops, takenDown, broken := 0, 0, 0
+	for seed := range uint64(runs) {
+		w := availabilityDay(seed, dayRounds, kinds, func(*world) {})
 		stops += w.stops
-		taken += w.holder.taken
+		takenDown += w.holder.taken
 		if len(w.faults) > 0 {
 			broken++
 			t.Errorf("seed %d: %s", seed, strings.Join(w.faults, "\n"))
 		}
 	}
-	t.Logf("days=%d broken=%d stops=%d instances_taken=%d", days, broken, stops, taken)
+	t.Logf("days=%d broken=%d stops=%d instances_taken=%d", runs, broken, stops, takenDown)
 }
 
-// availabilityDay plays one day of so many rounds, in a world that prepare has changed, and
-// returns what it came to.
-func availabilityDay(seed uint64, rounds int, troubles []dayTrouble, prepare func(*world)) *world {
+// simulateAvailability does one simulation run of the given number of rounds. prepare changes the
+// world before the run. The returned world holds the violations and counters of the run.
+func availabilityDay(seed uint64, rounds int, kinds []dayTrouble, prepare func(*world)) *world {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	w := newWorld(10)
 	prepare(w)
@@ -144,12 +144,12 @@
 	w.run(3 * time.Second)
 	h.waves = append(h.waves, dayWave(h, w.now))
 	for round := range rounds {
-		if turn := round / 15; turn%2 == 0 {
+		if phase := round / 15; phase%2 == 0 {
 			w.submit(fmt.Sprintf("j%d", round), step(4+draw.IntN(12)))
 		}
 		switch draw.IntN(8) {
 		case 0, 1:
-			troubles[draw.IntN(len(troubles))].begin(w, h, draw)
+			kinds[draw.IntN(len(kinds))].begin(w, h, draw)
 		case 2:
 			calmDown(w, h)
 		}
@@ -158,7 +158,7 @@
 	return w
 }
 
-// dayWave is a wave of maintenance over every other instance.
+// maintenanceWave returns a maintenance wave over every other instance.
 func dayWave(h *holder, now time.Time) *pool.Wave {
 	wave := &pool.Wave{
 		Wave: outside.Wave{
--- a/shard/availability_world_test.go
+++ b/shard/availability_world_test.go
@@ -6,20 +6,20 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// noticeBound is how long a task of a lasting step has to be missing to count as away when
-// nobody ordered its end: the platform's notice_ms.
+// noticeBound is how long a task of a long-running step has to be missing to count as unavailable
+// when no order ended it: the platform's notice_ms.
 const noticeBound = 4500 * time.Millisecond
 
-// presence is what the oracle knows of one task of a lasting step.
+// presence is the oracle's record of one task of a long-running step.
 type presence struct {
-	// last is when the task was last at work; zero where it never was.
+	// lastAvailable is when the task was last available; zero if it never was.
 	last time.Time
 
-	// ordered says that an order ended it since then.
+	// endedByOrder says that an order has ended the task since then.
 	ordered bool
 }
 
-// watchPresence notes which lasting tasks are at work.
+// recordPresence records which long-running tasks are available.
 func (w *world) watchPresence() {
 	for _, f := range w.workers {
 		if f.down {
@@ -44,16 +44,16 @@
 	return p
 }
 
-// works reports whether a run counts as at work.
+// isRunAvailable reports whether a run counts as available.
 func (w *world) works(r *fakeRun) bool {
 	return r.stopAt.IsZero() && w.now.Sub(r.began) >= atWork
 }
 
-// judgeOrdered notes that an order ends a run, and whether more others of its step are away
-// by then than it may miss: those that an order ended, and those that have been missing for
-// long whatever the cause. An order that was held up is not judged, and what it ends is away
-// all the same.
-func (w *world) judgeOrdered(f *fakeWorker, id job.TaskID, r *fakeRun, cause string, heldUp bool) {
+// checkOrderedEnd records that an order ends a run. It reports a violation if the step already
+// misses as many other tasks as it may: those that an order ended, and those that have been
+// missing for noticeBound for any cause. An order that was delayed is not checked, but the task
+// that it ends counts as unavailable.
+func (w *world) judgeOrdered(f *fakeWorker, id job.TaskID, r *fakeRun, cause string, delayed bool) {
 	record, known := w.recordOf(id.Job)
 	state, _ := w.core.Known(id.Job)
 	if !known || state.Final() || !r.step.Lasting || !r.step.HasMayMiss || !w.works(r) {
@@ -62,14 +62,14 @@
 	p := w.presenceOf(id)
 	p.last = w.now
 	p.ordered = true
-	if away := w.othersAway(id, record.Spec.Steps[id.Step].Count); !heldUp && !f.reg.Draining && away >= max(1, r.step.MayMiss) {
-		w.fault("%s is ended on %s by %s while %d others of its step are away, and %d may be", id, f.reg.ID, cause, away, r.step.MayMiss)
+	if unavailable := w.othersAway(id, record.Spec.Steps[id.Step].Count); !delayed && !f.reg.Draining && unavailable >= max(1, r.step.MayMiss) {
+		w.fault("%s is ended on %s by %s while %d other tasks of its step are unavailable, and it may miss %d", id, f.reg.ID, cause, unavailable, r.step.MayMiss)
 	}
 }
 
-// othersAway counts the others of a task's step that are away.
+// otherUnavailable counts the unavailable tasks of a step other than the given one.
 func (w *world) othersAway(id job.TaskID, count int) int {
-	away := 0
+	unavailable := 0
 	for index := range count {
 		other := id
 		other.Index = index
@@ -78,13 +78,13 @@
 			continue
 		}
 		if p.ordered || w.now.Sub(p.last) >= noticeBound {
-			away++
+			unavailable++
 		}
 	}
-	return away
+	return unavailable
 }
 
-// isAtWork reports whether a worker that lives has the task at work.
+// isTaskAvailable reports whether the task is available on a worker that has not ended.
 func (w *world) isAtWork(id job.TaskID) bool {
 	for _, f := range w.workers {
 		if r, found := f.runs[id]; found && !f.down && w.works(r) {
--- a/shard/away_test.go
+++ b/shard/away_test.go
@@ -8,35 +8,29 @@
 	"github.com/matryer/is"
 )
 
-// TestStopThatGotNoAnswerIsNotRepeatedWhileOthersAreAway covers a worker that is to be emptied
-// of a lasting task. The stop is lost, and before it is repeated another task of the step loses
-// its worker, so that none may be sent away. The repetition went out all the same:
-//
-//	j6.0.0.2 is stopped on w0 while 2 others of its step are away
+// TestUnansweredStopIsNotRetriedWhileOthersAreUnavailable covers a long-running task that is to be
+// evicted. The stop gets no answer, and before it is retried another task of the step loses its
+// worker, so that no task may be evicted. The stop was retried all the same, while two other tasks
+// of the step were unavailable.
 func TestStopThatGotNoAnswerIsNotRepeatedWhileOthersAreAway(t *testing.T) {
 	is := is.New(t)
-	w, emptied, empty := loseStopAndWorker(is, time.Minute)
-	empty(3 * time.Second)
+	w, emptied, keepClosed := loseStopAndWorker(is, time.Minute)
+	keepClosed(3 * time.Second)
 	w.check(t)
-	empty(12 * time.Second)
+	keepClosed(12 * time.Second)
 	w.check(t)
-	is.Equal(len(emptied.runs), 0) // Once the others were at work, it went.
+	is.Equal(len(emptied.runs), 0) // Once the others were available, the task was stopped.
 }
 
-// TestStopThatGotNoAnswerMayStillBeCarriedOut covers the stop of a lasting task that got no
-// answer and was not repeated, because others of its step were away by then. Its owner went on
-// as if it had never been given, but the worker carried it out seconds later. While that took
-// its time, the owner stopped another task of the step, and two were away of which one may be:
-//
-//	23.784 stop ordered task=0 worker=i-041226083a away=0 may_miss=1
-//	24.549 stop taken back task=0 worker=i-041226083a away=1 may_miss=1
-//	33.321 stop ordered task=1 worker=i-daf69aebb8 away=0 may_miss=1
-//	33.545 run ended task=0 worker=i-041226083a how=stopped
+// TestUnansweredStopMayTakeEffectLate covers the stop of a long-running task that got no answer and
+// was not retried, because other tasks of its step were unavailable by then. The owner treated the
+// task as running, but the worker carried the stop out seconds later. In between the owner stopped
+// another task of the step, so that two were unavailable where the step may miss one.
 func TestStopThatGotNoAnswerMayStillBeCarriedOut(t *testing.T) {
 	const late = 4 * time.Second
 	for wait := late - time.Second; wait < late+time.Second; wait += tick {
 		w, emptied, _ := loseStopAndWorker(is.New(t), late)
-		w.core.SetClosed(nil, w.now) // The instance is not wanted elsewhere any more.
+		w.core.SetClosed(nil, w.now) // The worker no longer has to be emptied.
 		w.run(wait)
 		for _, f := range w.workers {
 			if f != emptied && len(f.runs) > 0 {
@@ -49,9 +43,9 @@
 	}
 }
 
-// TestStopThatHadNoEffectIsNotRepeatedWhileOthersAreAway covers a worker that answers the stop of
-// a lasting task and goes on running it. Once the time of a stop was over, the owner ordered
-// another one, whoever else of the step was away by then.
+// TestIneffectiveStopIsNotRetriedWhileOthersAreUnavailable covers a worker that answers the stop of
+// a long-running task and keeps running it. After the stop timeout the owner ordered another stop
+// without checking how many other tasks of the step were unavailable.
 func TestStopThatHadNoEffectIsNotRepeatedWhileOthersAreAway(t *testing.T) {
 	is := is.New(t)
 	w, emptied, other := stepOnThree(is)
@@ -63,17 +57,18 @@
 	w.check(t)
 	w.empty(emptied, 12*time.Second)
 	w.check(t)
-	is.Equal(len(emptied.runs), 0) // Once the others were at work, it went.
+	is.Equal(len(emptied.runs), 0) // Once the others were available, the task was stopped.
 }
 
-// TestStopThatCanNotBeCarriedOutAnyMoreIsGivenUp loses such a stop for good, while its step can't
-// spare the task for longer than an order may be late. The task goes on.
+// TestExpiredStopIsAbandoned covers an unanswered stop that never takes effect. The step may not
+// miss the task for longer than an order can be delayed, so the stop is abandoned and the task
+// keeps running.
 func TestStopThatCanNotBeCarriedOutAnyMoreIsGivenUp(t *testing.T) {
 	is := is.New(t)
 	w, emptied, _ := loseStopAndWorker(is, time.Hour)
 	w.core.SetClosed(nil, w.now)
 	for _, f := range w.workers {
-		f.cut = f != emptied && len(f.runs) == 0 // The lost task has nowhere to go.
+		f.cut = f != emptied && len(f.runs) == 0 // The lost task can start nowhere.
 	}
 	w.run(20 * time.Second)
 	for _, f := range w.workers {
@@ -86,34 +81,34 @@
 	is.Equal(len(emptied.runs), 1)
 }
 
-// TestLostStopOfACancelledJobIsRepeated cancels the job of such a task: whatever its step can
-// spare, it ends.
+// TestUnansweredStopOfACancelledJobIsRetried cancels the job of a task whose stop got no answer.
+// The stop is retried even though the step may not miss the task.
 func TestLostStopOfACancelledJobIsRepeated(t *testing.T) {
 	is := is.New(t)
-	w, emptied, empty := loseStopAndWorker(is, time.Minute)
+	w, emptied, keepClosed := loseStopAndWorker(is, time.Minute)
 	is.True(w.cancel("a"))
-	empty(3 * time.Second)
+	keepClosed(3 * time.Second)
 	w.check(t)
 	is.Equal(len(emptied.runs), 0)
 }
 
-// loseStopAndWorker returns a world in which the stop of a lasting task, whose worker is to be
-// emptied, has just got no answer, and the worker of another task of its step has been lost as
-// well; that worker, and what goes on emptying it. The stop is carried out late.
+// newUnansweredStop returns a world in which the stop of a long-running task on a closed worker has
+// just got no answer, and another task of its step has lost its worker. It also returns the closed
+// worker and a function that keeps it closed. The stop takes effect after the given delay.
 func loseStopAndWorker(is *is.I, late time.Duration) (*world, *fakeWorker, func(time.Duration)) {
 	w, emptied, other := stepOnThree(is)
-	empty := func(d time.Duration) { w.empty(emptied, d) }
+	closeFor := func(d time.Duration) { w.empty(emptied, d) }
 	w.loseEach = 1
 	w.loseStops = late
-	empty(100 * time.Millisecond)
+	closeFor(100 * time.Millisecond)
 	is.Equal(len(emptied.runs), 1)
 	w.loseStops = 0
 	w.startAgain(other, time.Second)
-	return w, emptied, empty
+	return w, emptied, closeFor
 }
 
-// stepOnThree returns a world of four workers with a lasting task on each of three, of which
-// one may be away, and two of those workers.
+// newThreeTaskStep returns a world of four workers, three of which run one long-running task each
+// of a step that may miss one task. It also returns two of those three workers.
 func stepOnThree(is *is.I) (w *world, one, other *fakeWorker) {
 	w = newWorld(4)
 	w.judgeRepeated = true
@@ -128,7 +123,7 @@
 	return w, w.workers[holders[0]], w.workers[holders[1]]
 }
 
-// empty has a worker emptied for a while.
+// closeFor keeps a worker closed for a while, so that its long-running tasks are evicted.
 func (w *world) empty(f *fakeWorker, d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.core.SetClosed([]string{f.reg.ID}, w.now)
--- a/shard/batch_test.go
+++ b/shard/batch_test.go
@@ -20,13 +20,13 @@
 	w.run(2 * time.Second)
 	_, answered := w.taken["a"]
 	is.True(!answered)
-	is.Equal(w.shown["a"], job.State("")) // Nobody may be told of a job that may never be taken.
+	is.Equal(w.shown["a"], job.State("")) // Callers must not see a job that may still be refused.
 	w.storeDown = false
 	w.run(100 * time.Millisecond)
 	is.True(w.taken["a"])
 	w.run(2 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
-	w.check(t) // The oracle reports a start before the record stands.
+	w.check(t) // The oracle reports a start before the record is stored.
 }
 
 func TestManyJobsHandedInShareTransactions(t *testing.T) {
@@ -49,7 +49,7 @@
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.handIn("a", step(1))
-	w.run(50 * time.Millisecond) // Its record is under way, and its fate is open.
+	w.run(50 * time.Millisecond) // The write of the record has no answer yet.
 	w.handIn("b", step(1))
 	w.core.RefuseSubmitted()
 	taken, answered := w.taken["b"]
@@ -59,7 +59,7 @@
 	w.storeDown = false
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
-	is.True(!w.stood["b"]) // What was refused never runs.
+	is.True(!w.stood["b"]) // A refused job never runs.
 	is.Equal(w.core.Pending()["q"], 0)
 	w.check(t)
 }
@@ -72,7 +72,7 @@
 	for i := 0; i <= shard.SubmittedMost; i++ {
 		w.handIn(fmt.Sprintf("j%04d", i), step(1))
 	}
-	is.Equal(len(w.taken), 1) // All others wait for the store.
+	is.Equal(len(w.taken), 1) // All other jobs wait for the store.
 	is.True(!w.taken[fmt.Sprintf("j%04d", shard.SubmittedMost)])
 }
 
@@ -102,7 +102,7 @@
 	is.True(w.taken["a"])
 	w.taken["a"] = false
 	w.handIn("a", step(1))
-	is.True(w.taken["a"]) // It has ended and is still known.
+	is.True(w.taken["a"]) // The job has ended and the owner still knows it.
 	w.run(time.Second)
 	is.Equal(len(w.records), 0)
 	w.check(t)
@@ -121,11 +121,11 @@
 			w.storeDown = true
 			w.handIn("a", step(1))
 			w.run(wait)
-			withdrawn := false
-			is.True(w.core.Cancel("a", w.now, func() { withdrawn = true }))
+			cancelled := false
+			is.True(w.core.Cancel("a", w.now, func() { cancelled = true }))
 			w.storeDown = false
 			w.run(2 * time.Second)
-			is.True(withdrawn)
+			is.True(cancelled)
 			is.True(w.taken["a"])
 			is.Equal(w.shown["a"], job.Cancelled)
 			is.Equal(len(w.records), 0)
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestWithdrawnJobIsNotOfferedAgain lets the batch that holds a job's record be taken
-// back after the job was withdrawn: its final state alone is written.
+// TestCancelledJobIsNotWrittenAgain cancels a job while the batch with its record is being written,
+// and then undoes the batch. Only the final state of the job is written afterwards.
 func TestWithdrawnJobIsNotOfferedAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
--- a/shard/bench_test.go
+++ b/shard/bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// workerTasks is how many tasks a worker of these tests has room for.
+// workerTasks is how many tasks fit on a worker in these benchmarks.
 const workerTasks = 4
 
-// BenchmarkBusyShard measures a second of a full shard by its number of workers:
-// tasks of one second on workers with room for four, more waiting than fit.
+// BenchmarkBusyShard measures one second of a full shard by its number of workers. Each worker
+// fits four tasks, each task runs for one second, and more tasks wait than fit.
 func BenchmarkBusyShard(b *testing.B) {
 	for _, count := range []int{50, 200, 700} {
 		b.Run(fmt.Sprintf("%dworkers", count), func(b *testing.B) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkTurn measures the look at what waits in which a turn of demand begins: a thousand
-// tasks find room on as many free places.
+// BenchmarkTurn measures the first placement pass of a demand burst, in which a thousand tasks are
+// placed on as many free slots.
 func BenchmarkTurn(b *testing.B) {
 	const workers, tasks = 290, 8
 	for b.Loop() {
--- a/shard/crash_measure_test.go
+++ b/shard/crash_measure_test.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// seedsVariable names the environment variable with the number of seeds to measure; a
-	// few are enough to hold the bounds.
+	// crashSeedsVariable names the environment variable with the number of simulation runs. The
+	// default is enough to check the bounds.
 	seedsVariable = "CRASH_SEEDS"
 	defaultSeeds  = 4
 
-	// measuredTasks is the number of tasks of a measured day.
+	// measuredTasks is the number of tasks in a simulation run.
 	measuredTasks = 1000
 )
 
-// crashDay is what one measured day came to.
+// crashStats holds the results of one simulation run.
 type crashDay struct {
-	// crashes holds the workers that each culprit crashed, in their order.
+	// crashes holds the number of workers that each culprit crashed.
 	crashes []int
 
-	// innocents is the number of innocent jobs that were given up.
+	// failedBystanders is the number of bystander jobs that were given up.
 	innocents int
 
-	// waited is how long innocent jobs took beyond their work, on the mean.
+	// meanDuration is the mean time from acceptance to the end of bystander jobs.
 	waited time.Duration
 }
 
-// TestCulpritsAmongManyInnocents measures days of a thousand tasks, 1 to 20 of which crash
-// each worker that starts them, after 10 ms to 1 s, under takeovers and crashes that have
-// another cause. No culprit takes more than three workers and the two that owners may not
-// have seen; no innocent job is given up. CRASH_SEEDS sets the number of days.
+// TestCulpritsAmongManyInnocents does simulation runs of a thousand tasks, 1 to 20 of which crash
+// each worker that starts them after 10 ms to 1 s, during takeovers and crashes that have another
+// cause. A culprit may crash three workers and two more whose crashes owners may not have seen. No
+// bystander job may be given up. CRASH_SEEDS sets the number of runs.
 func TestCulpritsAmongManyInnocents(t *testing.T) {
 	seeds := defaultSeeds
 	if text := os.Getenv(seedsVariable); text != "" {
@@ -47,24 +47,24 @@
 		}
 	}
 	var crashes []int
-	innocents, most := 0, 0
-	var waited time.Duration
+	failedBystanders, most := 0, 0
+	var meanDuration time.Duration
 	for seed := range uint64(seeds) {
-		day := measureCrashes(t, seed)
-		crashes = append(crashes, day.crashes...)
-		innocents += day.innocents
-		waited += day.waited / time.Duration(seeds)
-		most = max(most, slices.Max(day.crashes))
+		stats := measureCrashes(t, seed)
+		crashes = append(crashes, stats.crashes...)
+		failedBystanders += stats.innocents
+		meanDuration += stats.waited / time.Duration(seeds)
+		most = max(most, slices.Max(stats.crashes))
 	}
 	slices.Sort(crashes)
 	t.Logf("seeds=%d culprits=%d crashes_mean=%.2f crashes_median=%d crashes_most=%d innocent_jobs_given_up=%d innocent_wait_ms=%d",
-		seeds, len(crashes), mean(crashes), crashes[len(crashes)/2], most, innocents, waited.Milliseconds())
-	if innocents > 0 || most > crashBound+startsAfter {
-		t.Errorf("%d innocent jobs given up, %d workers crashed under one task", innocents, most)
+		seeds, len(crashes), mean(crashes), crashes[len(crashes)/2], most, failedBystanders, meanDuration.Milliseconds())
+	if failedBystanders > 0 || most > crashBound+startsAfter {
+		t.Errorf("%d bystander jobs given up, %d workers crashed under one task", failedBystanders, most)
 	}
 }
 
-// measureCrashes plays one day.
+// simulateCrashes does one simulation run.
 func measureCrashes(t *testing.T, seed uint64) crashDay {
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 1))
@@ -98,8 +98,8 @@
 		case 1:
 			w.release(20 * tick)
 		case 2, 3:
-			names := w.names()
-			w.crashUnder(w.workers[names[draw.IntN(len(names))]])
+			workerIDs := w.names()
+			w.crashUnder(w.workers[workerIDs[draw.IntN(len(workerIDs))]])
 		}
 		noteEnded(w, ended)
 	}
@@ -111,7 +111,7 @@
 	return w.crashDay(accepted, ended)
 }
 
-// noteEnded notes when jobs were first seen to have ended.
+// recordEnded records when each job was first seen to have ended.
 func noteEnded(w *world, ended map[string]time.Time) {
 	for id, state := range w.shown {
 		if _, noted := ended[id]; state.Final() && !noted {
@@ -120,27 +120,27 @@
 	}
 }
 
-// crashDay sums a day up.
+// crashStats computes the results of a simulation run.
 func (w *world) crashDay(accepted, ended map[string]time.Time) crashDay {
-	var day crashDay
-	guilty := make(map[string]bool)
+	var stats crashDay
+	culpritJobs := make(map[string]bool)
 	for id := range w.culprits {
-		guilty[id.Job] = true
-		day.crashes = append(day.crashes, w.crashes[id])
+		culpritJobs[id.Job] = true
+		stats.crashes = append(stats.crashes, w.crashes[id])
 	}
 	sum, count := time.Duration(0), 0
 	for id, at := range accepted {
 		switch {
-		case guilty[id]:
+		case culpritJobs[id]:
 		case w.shown[id] != job.Completed:
-			day.innocents++
+			stats.innocents++
 		default:
 			sum += ended[id].Sub(at)
 			count++
 		}
 	}
-	day.waited = sum / time.Duration(count)
-	return day
+	stats.waited = sum / time.Duration(count)
+	return stats
 }
 
 func mean(list []int) float64 {
--- a/shard/crash_test.go
+++ b/shard/crash_test.go
@@ -13,28 +13,17 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// TestTaskThatCrashesItsWorkersIsGivenUp covers tasks under which each worker crashes
-// that starts them. Two of them took twelve workers of a pool of a dozen in eleven
-// seconds, with 176 runs, and each was started again as long as its job was there: a run
-// that is lost with its worker counted as nothing. What settled it is the log of one
-// task. Each start is followed by the end of its worker some 11 ms later, and the loss
-// by the next start, all under one owner:
-//
-//	41.922 start ordered run=3 worker=i-79b17482ea
-//	41.934 worker lost runs=18 error=EOF
-//	44.222 start ordered run=4 worker=i-188b7edb31
-//	44.233 worker lost runs=13 error=EOF
-//	45.220 run lost run=3 reason="another life answers"
-//	46.117 start ordered run=5 worker=i-665084345f
-//	47.925 start ordered run=6 worker=i-90e4318437
-//
-// Those that ran beside them were started beside them again: one that had done nothing
-// lost four workers.
+// TestTaskThatCrashesItsWorkersIsGivenUp covers tasks that crash every worker that starts them. A
+// run that was lost with its worker was not counted, so such a task was started again for as long
+// as its job existed: two of them crashed twelve workers of a pool of a dozen in eleven seconds,
+// with 176 runs. All starts of one task came from the same owner, and its worker ended some 11 ms
+// after each of them. Bystanders were started beside such a task again: one bystander lost four
+// workers.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, test := range []struct {
 		name string
 
-		// after is how long the culprits run, back how long their workers are away.
+		// after is how long a culprit runs before the crash, back how long the worker is away.
 		after, back time.Duration
 		speculative bool
 	}{
@@ -90,14 +79,14 @@
 					is.Equal(state, job.Failed) // The job of a culprit is given up.
 					continue
 				}
-				is.Equal(state, job.Completed) // No other is.
+				is.Equal(state, job.Completed) // No other job is.
 			}
 		})
 	}
 }
 
-// TestCrashesCountAcrossOwners lets every crash but the first happen under another owner:
-// what one has seen stands in the job's row.
+// TestRecordedCrashesOutlastTheirOwner replaces the owner after each crash. Crashes are stored in
+// the job's row, so that the next owner counts them.
 func TestCrashesCountAcrossOwners(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(6)
@@ -116,8 +105,8 @@
 	is.Equal(w.shown["bad"], job.Failed)
 }
 
-// TestWorkerThatAnswersAgainHasNotCrashed covers cuts that outlast a lease: nothing that
-// ran behind one is marked, however often.
+// TestWorkerThatAnswersAgainHasNotCrashed covers partitions that outlast a lease. They never count
+// as a crash under the tasks of the partitioned worker, however often they occur.
 func TestWorkerThatAnswersAgainHasNotCrashed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
@@ -137,8 +126,8 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// TestAnnouncedEndIsNoCrash lets every worker under a task end after it has drained, and
-// after its registration went without a word.
+// TestAnnouncedEndIsNoCrash ends every worker of a task, either after the worker has started to
+// drain or after its registration was removed without a drain. Neither counts as a crash.
 func TestAnnouncedEndIsNoCrash(t *testing.T) {
 	for name, announce := range map[string]func(f *fakeWorker){
 		"drains":               func(f *fakeWorker) { f.reg.Draining = true },
@@ -168,16 +157,10 @@
 	}
 }
 
-// TestLastingTaskThatHasRunIsBeyondDoubt lets lasting tasks lose one worker after the other
-// that has nothing to do with them, four seconds after each start. They were given up with
-// the third, and their job's other tasks stopped all at once:
-//
-//	12.121 crash marked task=d5effe17ba0a02af.0.0.5 crashes=1
-//	19.585 crash marked task=d5effe17ba0a02af.0.0.5 crashes=2
-//	27.980 stopped, 1 others of its step are away and 1 may be
-//
-// A task that crashes its workers at the start is not started again; the others of its step
-// go on.
+// TestLongRunningTaskIsNotGivenUpAfterItHasRun crashes one worker after another under long-running
+// tasks for another cause, four seconds after each start. A task was given up after the third
+// crash, and the other tasks of its job were stopped all at once. A task that crashes its workers
+// at the start is not started again; the other tasks of its step keep running.
 func TestLastingTaskThatHasRunIsBeyondDoubt(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(6)
@@ -203,16 +186,16 @@
 	w.takeOver()
 	w.run(10 * time.Second)
 	is.Equal(w.running("bad"), 2)
-	is.Equal(w.crashes[bad], 3) // No successor starts it either.
+	is.Equal(w.crashes[bad], 3) // The next owner does not start the task either.
 	w.check(t)
 }
 
-// TestCulpritsUnderFaults lets culprits of every kind meet innocent jobs, crashes that
-// have another cause, cuts, takeovers with and without a release, and a store that is
-// away. No culprit is started more often than the platform allows, whoever owns the
-// shard. No job is given up under which fewer than two workers have crashed, which is
-// what the platform asks for: of the three marks one may be of a worker that crashed
-// before an order without an answer, or after a lease had lapsed there.
+// TestCulpritsUnderFaults combines culprits of every kind with bystander jobs, crashes that have
+// another cause, partitions, takeovers with and without a release, and store outages. No culprit
+// is started more often than the platform allows, across owners. As the platform requires, no job
+// is given up before two workers have crashed under it. Of the three recorded crashes, one may be
+// of a worker that crashed before an unanswered order took effect, or after a lease had lapsed
+// there.
 func TestCulpritsUnderFaults(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(8)
@@ -228,7 +211,7 @@
 			case 1, 2:
 				f.cut = false
 			case 3, 4:
-				// Nobody takes over while the store is away.
+				// No owner takes over while the store is down.
 				w.storeDown = false
 				if rapid.Bool().Draw(t, "released") {
 					w.release(time.Duration(rapid.IntRange(0, 50).Draw(t, "free for")) * tick)
@@ -270,14 +253,14 @@
 	})
 }
 
-// TestCrashesAreCountedAcrossOwners takes away what rows hold of crashes: the workers that
-// crashed under a task, and those where that is not known yet. An owner dies each time
-// after it has marked a crash, or between the crash and its mark.
+// TestCrashesAreCountedAcrossOwners removes crashes or possible crashes from the rows that an owner
+// reads. The owner dies each time after it has recorded a crash, or between the crash and its
+// record.
 func TestCrashesAreCountedAcrossOwners(t *testing.T) {
 	for name, scenario := range map[string]struct {
 		off func(w *world)
 
-		// dies is how long after a crash its owner does.
+		// dies is how long after a crash the owner dies.
 		dies time.Duration
 	}{
 		"marks-outlast-their-owner": {
--- a/shard/crash_world_test.go
+++ b/shard/crash_world_test.go
@@ -9,18 +9,17 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// registrationKept is how long the registration of a crashed worker stands: three
-// heartbeats of the platform.
+// registrationTTL is how long a crashed worker stays registered: three heartbeat intervals of the
+// platform.
 const registrationKept = 4500 * time.Millisecond
 
-// crashesNow reports whether a run has gone on for as long as its task takes to crash
-// its worker.
+// shouldCrash reports whether a run has gone on for as long as its task takes to crash its worker.
 func (w *world) crashesNow(id job.TaskID, r *fakeRun) bool {
 	after, culprit := w.culprits[id]
 	return culprit && w.now.Sub(r.began) >= after
 }
 
-// crash ends the life of a worker with all that runs there, because of a task.
+// crashByTask crashes a worker with all its runs because of a task.
 func (w *world) crash(f *fakeWorker, culprit job.TaskID) {
 	w.crashes[culprit]++
 	for id := range f.runs {
@@ -29,7 +28,7 @@
 	w.loseWorker(f)
 }
 
-// crashUnder ends the life of a worker for no task's sake.
+// crashWorker crashes a worker with all its runs for a cause other than its tasks.
 func (w *world) crashUnder(f *fakeWorker) {
 	if f.down {
 		return
@@ -40,7 +39,7 @@
 	w.loseWorker(f)
 }
 
-// mostCrashes returns how many workers crashed under a task of a job at the most.
+// maxCrashes returns the highest number of workers that crashed under one task of a job.
 func (w *world) mostCrashes(id string) int {
 	most := 0
 	for task, count := range w.under {
@@ -51,20 +50,21 @@
 	return most
 }
 
-// names returns every worker there ever was, in their order.
+// workerIDs returns the sorted ids of all workers, including those that have ended.
 func (w *world) names() []string {
 	return slices.Sorted(maps.Keys(w.workers))
 }
 
-// loseWorker ends the life of a worker. Where workers come back, another life answers at
-// its address after a while.
+// failWorker ends a worker with all its runs without notice. If backAfter is set, it is replaced
+// after that time: by its next incarnation if sameID is set, otherwise by a worker with another id
+// at the same address.
 func (w *world) loseWorker(f *fakeWorker) {
 	f.down = true
 	f.crashed = true
 	f.runs = make(map[job.TaskID]*fakeRun)
-	life := f.lives
+	incarnation := f.lives
 	w.after(registrationKept, func() {
-		if f.lives == life {
+		if f.lives == incarnation {
 			f.unlisted = true
 			w.listToOwner()
 		}
@@ -83,26 +83,25 @@
 	})
 }
 
-// startAgain ends the life of a worker with all that runs there; another one begins under
-// its id after a while.
-func (w *world) startAgain(f *fakeWorker, away time.Duration) {
+// restartWorker ends a worker with all its runs and starts its next incarnation after the downtime.
+func (w *world) startAgain(f *fakeWorker, downtime time.Duration) {
 	if f.down {
 		return
 	}
-	life := f.lives
+	incarnation := f.lives
 	f.down = true
 	f.crashed = true
 	f.runs = make(map[job.TaskID]*fakeRun)
 	w.after(registrationKept, func() {
-		if f.lives == life {
+		if f.lives == incarnation {
 			f.unlisted = true
 			w.listToOwner()
 		}
 	})
-	w.after(away, func() { w.beginLife(f) })
+	w.after(downtime, func() { w.beginLife(f) })
 }
 
-// beginLife lets a worker that has ended start again: it knows nothing of before.
+// startIncarnation starts the next incarnation of an ended worker, which has no earlier state.
 func (w *world) beginLife(f *fakeWorker) {
 	f.lives++
 	f.down = false
@@ -122,14 +121,14 @@
 	w.listToOwner()
 }
 
-// listToOwner tells the owner of every registration, if there is one.
+// sendRegistrations sends all registrations to the owner, if there is one.
 func (w *world) listToOwner() {
 	if !w.ownerless {
 		w.list()
 	}
 }
 
-// judgeCrashes notes a start of a task under which too many workers have crashed.
+// checkCrashLimit reports a start of a task under which too many workers have crashed.
 func (w *world) judgeCrashes(f *fakeWorker, id job.TaskID) {
 	if w.crashes[id] < crashBound {
 		return
--- a/shard/deposed_test.go
+++ b/shard/deposed_test.go
@@ -9,14 +9,15 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// An owner was turned away by the store and succeeded while it lived. An entry that had not heard
-// of the successor wrote a job itself and told the owner before, which started it. The successor
-// found those runs before it knew the job: it stopped them as not wanted and took in their ends
-// for nothing, and started the job's tasks beside them and after them once it read its row.
+// TestJobThatADeposedOwnerWasToldOfRunsOnce covers an owner that was refused by the store and
+// deposed while it stayed active. An entry that did not know the next owner wrote a job itself and
+// told the deposed owner, which started the job. The next owner polled these runs before it knew
+// the job. It stopped them as not wanted and ignored their ends. Once it had read the job's row, it
+// started the tasks again, beside the first runs and after them.
 func TestJobThatADeposedOwnerWasToldOfRunsOnce(t *testing.T) {
-	for name, moments := range map[string]struct{ sight, row time.Duration }{
-		"its runs are being stopped": {sight: 100 * time.Millisecond, row: 100 * time.Millisecond},
-		"its runs have ended well":   {sight: 1500 * time.Millisecond, row: 500 * time.Millisecond},
+	for name, delays := range map[string]struct{ poll, row time.Duration }{
+		"its runs are being stopped": {poll: 100 * time.Millisecond, row: 100 * time.Millisecond},
+		"its runs have ended well":   {poll: 1500 * time.Millisecond, row: 500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -28,9 +29,9 @@
 			record := w.record("a", step(4))
 			w.store(record)
 			w.zombies[0].core.Accept(record, w.version, true, w.now)
-			w.run(moments.sight)
+			w.run(delays.poll)
 			w.standbyAway = false
-			w.run(moments.row)
+			w.run(delays.row)
 			w.core.Accept(record, w.version, false, w.now)
 			w.run(10 * time.Second)
 			w.check(t)
--- a/shard/drain_test.go
+++ b/shard/drain_test.go
@@ -7,12 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Two workers drained at once, and all that lasts on them was stopped at that moment, as if
-// nothing else of its step were on the other one. There are seconds to move one after the other:
-//
-//	21.278 stop ordered task=21 worker=i-9f9f6a8685 reason="worker drains" away=3 may_miss=3
-//	21.278 stop ordered task=11 worker=i-3bf15cd071 reason="worker drains" away=3 may_miss=3
-//	21.278 stop ordered task=2 worker=i-9f9f6a8685 reason="worker drains" away=3 may_miss=3
+// TestDrainStopsOneTaskOfAStepAtATime covers two workers that drain at once. All long-running tasks
+// on both were stopped at that moment, as if no other task of their step ran on the other worker,
+// although there are seconds to move one after the other.
 func TestDrainingWorkersAreEmptiedOneTaskOfAStepAtATime(t *testing.T) {
 	is := is.New(t)
 	w, one, other := stepOnThree(is)
@@ -27,12 +24,13 @@
 	w.check(t)
 }
 
-// TestTaskIsStoppedBeforeItsDrainingWorkerEnds covers a step that can't spare the task all the
-// while: it ends with its worker in any case, and starts elsewhere sooner if it is stopped.
+// TestTaskIsStoppedBeforeItsDrainingWorkerEnds covers a step that may not miss the task during the
+// whole drain. The task ends with its worker in any case, and starts elsewhere sooner if it is
+// stopped before.
 func TestTaskIsStoppedBeforeItsDrainingWorkerEnds(t *testing.T) {
 	is := is.New(t)
 	w, one, other := stepOnThree(is)
-	other.cut = true // It may run its task, and nobody knows.
+	other.cut = true // Its task may still run, but the owner can't tell.
 	w.run(time.Second)
 	w.drain(3*time.Second, one)
 	w.run(1800 * time.Millisecond)
@@ -41,7 +39,7 @@
 	is.Equal(len(one.runs), 0)
 }
 
-// drain lets workers announce that they end after a while.
+// drain lets workers announce that they drain and end after the remaining time.
 func (w *world) drain(remaining time.Duration, list ...*fakeWorker) {
 	for _, f := range list {
 		f.reg.Draining = true
--- a/shard/evacuation_test.go
+++ b/shard/evacuation_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// evacuationLag is how long after an evacuation was acknowledged an owner knows of it
-	// in these tests, evacuationBound how long after it nothing may be ordered to start in
-	// the zone any more.
+	// evacuationLag is how long after the acknowledgement of an evacuation owners know of it in
+	// these tests. evacuationBound is how long after the acknowledgement an owner may still
+	// order starts in the zone.
 	evacuationLag   = time.Second
 	evacuationBound = 2 * time.Second
 )
 
-// evacuations are the operator's requests that nothing start in a zone.
+// evacuations holds the zones in which, by the operator's order, nothing may start.
 type evacuations struct {
-	// acknowledged holds since when each zone is evacuated.
+	// acknowledged holds when the evacuation of each zone was acknowledged.
 	acknowledged map[string]time.Time
 
-	// ignored takes from owners that a zone is evacuated.
+	// hidden says that owners are told of no evacuation.
 	ignored bool
 }
 
@@ -46,26 +46,26 @@
 	}
 }
 
-// takeBack ends the evacuation of a zone.
+// endEvacuation ends the evacuation of a zone.
 func (w *world) takeBack(zone string) {
 	delete(w.evacuations.acknowledged, zone)
 }
 
-// isEvacuated is what owners know.
+// isEvacuated reports whether owners know that a zone is evacuated.
 func (w *world) isEvacuated(zone string) bool {
 	at, found := w.evacuations.acknowledged[zone]
 	return found && !w.evacuations.ignored && w.now.Sub(at) >= evacuationLag
 }
 
-// judgeEvacuated notes a start that was ordered in an evacuated zone.
+// checkEvacuated reports a start that was ordered in an evacuated zone.
 func (w *world) judgeEvacuated(f *fakeWorker, id job.TaskID, sent time.Time) {
 	if at, found := w.evacuations.acknowledged[f.reg.Zone]; found && sent.Sub(at) > evacuationBound {
 		w.fault("%s starts on %s, whose zone %s was evacuated at %v", id, f.reg.ID, f.reg.Zone, at.Sub(w.start))
 	}
 }
 
-// Owners knew nothing of evacuated zones and went on to start tasks there, some two thousand
-// in a zone that was evacuated for ten seconds.
+// TestNothingStartsInAnEvacuatedZone covers owners that did not know of evacuated zones. They
+// started some two thousand tasks in a zone that was evacuated for ten seconds.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -82,7 +82,7 @@
 	}
 	w.run(8 * time.Second)
 	is.Equal(evacuated.began, before)
-	is.True(len(evacuated.runs) > 0) // What runs there goes on.
+	is.True(len(evacuated.runs) > 0) // Tasks that run in the zone keep running.
 	w.takeBack(evacuated.reg.Zone)
 	w.submit("after", step(12))
 	w.run(6 * time.Second)
@@ -90,8 +90,8 @@
 	w.check(t)
 }
 
-// A start that got no answer is repeated. The answer may be lost before the zone is evacuated,
-// and the repetition be due after it.
+// TestUnansweredStartIsNotRetriedInAnEvacuatedZone covers a start that gets no answer before its
+// zone is evacuated, and whose retry is due after the evacuation.
 func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
 	for name, s := range map[string]job.Step{
 		"short":   step(1),
@@ -119,7 +119,8 @@
 	}
 }
 
-// TestTaskOfAnEvacuatedZoneTellsWhyItWaits covers a task that runs on one rack only.
+// TestEvacuationIsReportedAsWaitReason covers a task that may only run on a rack of an evacuated
+// zone.
 func TestTaskOfAnEvacuatedZoneTellsWhyItWaits(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -138,7 +139,7 @@
 	w.check(t)
 }
 
-// TestEvacuatedZonesUnderFaults evacuates zones beside random faults and takeovers.
+// TestEvacuatedZonesUnderFaults evacuates zones during random faults and takeovers.
 func TestEvacuatedZonesUnderFaults(t *testing.T) {
 	prove.Guard(t, prove.Evacuation, "evacuated-worker-takes-nothing", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
--- a/shard/fakeworker_test.go
+++ b/shard/fakeworker_test.go
@@ -7,7 +7,7 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// fakeRun is a run at a fake worker.
+// fakeRun is a run on a fake worker.
 type fakeRun struct {
 	number   int64
 	step     job.Step
@@ -15,11 +15,11 @@
 	stopAt   time.Time
 	workLeft time.Duration
 
-	// late says that the order to start it was carried out late.
+	// late says that the worker carried out the start order late.
 	late bool
 }
 
-// fakeWorker obeys the published rules of a worker in virtual time.
+// fakeWorker follows the platform's rules for workers, in virtual time.
 type fakeWorker struct {
 	reg    outside.Registration
 	runs   map[job.TaskID]*fakeRun
@@ -29,42 +29,44 @@
 	until  time.Time
 	top    map[job.TaskID]int64
 
-	// clockZero is when its steady clock, which starts anew with each life, stood at zero.
+	// clockZero is when the worker's steady clock stood at zero. Each incarnation resets the
+	// clock.
 	clockZero time.Time
 
-	// lives counts the times that it has started again under its id.
+	// restarts counts how often the worker has restarted under its id.
 	lives int
 
-	// endedAt holds when each end came, by its number; lapsed is when its lease was last over.
+	// endedAt holds the time of each end by its number; number is that of the last one.
+	// leaseLapsedAt is the last time at which the worker had no lease.
 	endedAt map[int64]time.Time
 	lapsed  time.Time
 
-	// cut says that no call gets through; down that the worker has ended, crashed that its
-	// registration stands for a while all the same, and reborn that another life answers
-	// at its address.
+	// partitioned says that no call reaches the worker. down says that it has ended, crashed
+	// that it stays registered for a while all the same, and replaced that another worker
+	// answers at its address.
 	cut     bool
 	down    bool
 	crashed bool
 	reborn  bool
 
-	// unhealthy says that it carries out no stop, and says so.
+	// unhealthy says that the worker refuses stops.
 	unhealthy bool
 
-	// deaf is how many stops it answers without ending a run, began how many runs
-	// have begun, and disturbed when it was last out of reach.
+	// ignoreStops is how many stops the worker answers without ending a run, began how many
+	// runs it has started, and disturbed when it was last partitioned.
 	deaf      int
 	began     int
 	disturbed time.Time
 
-	// figure is the tail that it reports of every run; shares holds the share
-	// that each run was told to work at.
+	// tailLatency is the latency in milliseconds that the worker reports for every run. shares
+	// holds the percentage of full speed that each run was told to work at.
 	figure int
 	shares map[job.TaskID]int
 
-	// tickets counts starts that carried one.
+	// tickets counts the starts that carried a ticket.
 	tickets int
 
-	// unlisted says that its registration is gone.
+	// unlisted says that the worker's registration was removed.
 	unlisted bool
 }
 
@@ -80,18 +82,18 @@
 	delete(f.runs, id)
 }
 
-func (f *fakeWorker) renew(w *world, fence int64, until time.Duration) {
+func (f *fakeWorker) renew(w *world, fence int64, leaseUntil time.Duration) {
 	f.fence = max(f.fence, fence)
-	at := f.clockZero.Add(until)
-	if most := w.now.Add(testLeaseMost); at.After(most) {
-		at = most
+	at := f.clockZero.Add(leaseUntil)
+	if limit := w.now.Add(testLeaseMost); at.After(limit) {
+		at = limit
 	}
 	if at.After(f.until) {
 		f.until = at
 	}
 }
 
-// clock returns the steady clock of the worker's life.
+// clock returns the steady clock of the worker's incarnation.
 func (f *fakeWorker) clock(now time.Time) time.Duration {
 	return now.Sub(f.clockZero)
 }
--- a/shard/handover_test.go
+++ b/shard/handover_test.go
@@ -11,10 +11,10 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// successions are more owners in a row, a second each, than a lease lasts.
+// ownerChanges is a number of successive owners, of one second each, that outlasts a lease.
 const successions = 8
 
-// holderOf returns the workers that run a task of a job and can be reached.
+// reachableWorkersOf returns the reachable workers that run a task of a job.
 func holderOf(w *world, id string) []*fakeWorker {
 	var list []*fakeWorker
 	for _, f := range w.workers {
@@ -27,7 +27,8 @@
 	return list
 }
 
-// TestReleaseHandsOverThatNothingRuns lets an empty worker die just before a release.
+// TestReleaseHandsOverIdleWorkers ends an idle worker just before a release. The next owner starts
+// a task at once, since it knows that nothing runs on that worker.
 func TestReleaseHandsOverThatNothingRuns(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -40,8 +41,8 @@
 	w.check(t)
 }
 
-// TestOwnerThatNeverWroteLosesNothingHandedOver lets an owner take over and end before
-// its first transaction.
+// TestHandoverOutlastsOwnerThatNeverWrote covers an owner that takes over and ends before its first
+// transaction.
 func TestOwnerThatNeverWroteLosesNothingHandedOver(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -52,7 +53,7 @@
 	w.handover = w.lastOrders()
 	w.takeOver()
 	w.run(time.Second)
-	is.Equal(len(holderOf(w, "a")), 0) // Its successor would know nothing of it.
+	is.Equal(len(holderOf(w, "a")), 0) // The next owner would not know of the start.
 	w.frozen = false
 	w.takeOver()
 	w.run(200 * time.Millisecond)
@@ -60,9 +61,9 @@
 	w.check(t)
 }
 
-// TestInheritedWaitGoesOn lets owners follow each other faster than a lease lapses, by
-// releases and without: the task on the silent worker starts elsewhere once its lease
-// has lapsed, and after releases all others start at once.
+// TestInheritedWaitIsNotRestarted replaces owners faster than a lease lapses, with and without
+// releases. The task on the silent worker starts elsewhere once its lease has lapsed. After a
+// release, all other tasks start at once.
 func TestInheritedWaitGoesOn(t *testing.T) {
 	next := map[string]func(w *world){
 		"released": func(w *world) { w.release(5 * tick) },
@@ -76,14 +77,14 @@
 			w.submit("a", lasting(1, 1))
 			w.run(time.Second)
 			holderOf(w, "a")[0].cut = true
-			cut := w.now
+			partitioned := w.now
 			for i := range successions {
 				waiting := fmt.Sprintf("b%d", i)
 				w.store(w.record(waiting, lasting(1, 1)))
 				succeed(w)
 				w.run(time.Second)
 				is.True(name == "died" || len(holderOf(w, waiting)) == 1)
-				if w.now.Sub(cut) > testLease+2*time.Second {
+				if w.now.Sub(partitioned) > testLease+2*time.Second {
 					break
 				}
 			}
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestDoubtfulStartIsHandedOver lets a start get no answer, and be carried out three
-// seconds later by a worker that the successor can't reach.
+// TestUnansweredStartIsHandedOver covers a start that gets no answer and is carried out three
+// seconds later by a worker that the next owner can't reach.
 func TestDoubtfulStartIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -114,11 +115,12 @@
 	}
 	w.run(2 * time.Second)
 	is.Equal(len(holderOf(w, "a")), 1)
-	w.check(t) // The task may not have started on the third worker before.
+	w.check(t) // The task must not have started on the third worker before that.
 }
 
-// TestNamedWorkerIsNotRenewedBeforeATransaction covers an owner that reaches a worker
-// again of which its last row says how long something may run there.
+// TestWorkerInHandoverIsNotRenewedBeforeATransaction covers an owner that reaches a worker again,
+// while its last stored handover still says for how long tasks may run there. The owner may not
+// renew that worker before a transaction has stored a newer handover.
 func TestNamedWorkerIsNotRenewedBeforeATransaction(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -128,21 +130,22 @@
 	f := holderOf(w, "a")[0]
 	f.cut = true
 	w.takeOver()
-	w.run(time.Second) // It is known to be silent, and named.
-	named := w.handover
-	is.Equal(len(named.Leased), 1)
+	w.run(time.Second) // The owner knows that the worker is silent and names it in the handover.
+	oldHandover := w.handover
+	is.Equal(len(oldHandover.Leased), 1)
 	w.frozen = true
 	f.cut = false
 	w.run(3 * time.Second)
 	f.cut = true
 	w.frozen = false
-	w.takeOverWith(named)
+	w.takeOverWith(oldHandover)
 	w.run(testLease)
 	is.Equal(len(holderOf(w, "a")), 1)
 	w.check(t)
 }
 
-// TestNamedWorkerIsRenewedAfterATransaction is the same with a store that takes it.
+// TestWorkerInHandoverIsRenewedAfterATransaction covers the same case with a store that accepts the
+// transaction.
 func TestNamedWorkerIsRenewedAfterATransaction(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -156,11 +159,12 @@
 	f.cut = false
 	w.run(2 * testLease)
 	is.Equal(holderOf(w, "a"), []*fakeWorker{f})
-	is.Equal(f.number, int64(0)) // Nothing has ended there.
+	is.Equal(f.number, int64(0)) // No run has ended on the worker.
 	w.check(t)
 }
 
-// TestHandoverFitsItsRow cuts what is handed over: what is left out is waited for.
+// TestHandoverFitsItsRow truncates the handover to the size of its row. The next owner waits for
+// the workers that are left out.
 func TestHandoverFitsItsRow(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -168,7 +172,7 @@
 	w.submit("a", lasting(4, 1))
 	w.run(time.Second)
 	busy := w.holders()
-	is.Equal(len(busy), 1) // Fuller workers are filled first.
+	is.Equal(len(busy), 1) // Tasks are placed on the fullest workers first.
 	idle := otherOf(w, busy[0])
 	all := w.core.HandOver(w.now, true, testRowBytes)
 	is.Equal(all.Idle, []string{idle})
@@ -180,7 +184,8 @@
 	is.Equal(w.core.HandOver(w.now, true, 0), shard.Handover{})
 }
 
-// TestBatchIsWholeOnceItHoldsEveryEnd covers what a release waits for.
+// TestBatchIsCompleteOnceItHoldsEveryEnd covers the condition for a release: the batch is complete
+// only if it holds every remaining end.
 func TestBatchIsWholeOnceItHoldsEveryEnd(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
@@ -193,10 +198,10 @@
 		w.core.Accept(record, w.version, true, w.now)
 	}
 	w.run(1500 * time.Millisecond)
-	w.apply() // What was under way.
+	w.apply() // Applies the batch that is already being written.
 	var whole []bool
 	for {
-		b, found := w.core.TakeBatch(3, w.now) // One row of progress.
+		b, found := w.core.TakeBatch(3, w.now) // The limit leaves room for one progress row.
 		if !found {
 			break
 		}
--- a/shard/holder_world_test.go
+++ b/shard/instance_world_test.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// testPool and testAsleep are the pools of these instances.
+	// testPool is the pool of the instances that run workers, testAsleep that of the sleeping
+	// instances.
 	testPool   = "s"
 	testAsleep = "asleep"
 
-	// testMove is how long an instance is dark while it moves, testMaintain while it is
-	// maintained.
+	// testMoveTime is how long an instance is unavailable while it moves, testMaintainTime while
+	// it is maintained.
 	testMove     = 1500 * time.Millisecond
 	testMaintain = 2 * time.Second
 
-	// holderPause is the time between two rounds of the holder of the instances, and
-	// holderFresh how old its last write may be when it gives an order.
+	// planInterval is the time between two rounds of the instance controller. maxLoadAge is how
+	// old the load that a plan is based on may be when the controller sends orders.
 	holderPause = 200 * time.Millisecond
 	holderFresh = time.Second
 
-	// orderFails is when an order without an answer is given up.
+	// orderTimeout is how long the controller waits for the answer to an order.
 	orderFails = 900 * time.Millisecond
 
-	// endedTold is how long owners are told of a worker whose instance was taken.
+	// endedRetention is how long owners are told of a worker whose instance was taken down.
 	endedTold = 8 * time.Second
 )
 
-// machine is one instance; worker is nil where none runs.
+// fakeInstance is one instance; worker is nil if none runs on it.
 type machine struct {
 	id     string
 	pool   string
@@ -41,8 +42,8 @@
 	worker *fakeWorker
 }
 
-// holder owns the instances: it asks the owner for its load, plans, announces and orders, as
-// the duty for the instances does, in virtual time.
+// holder manages the instances as the instance controller does, in virtual time: it asks the owner
+// for its load, makes a plan, announces it and sends its orders.
 type holder struct {
 	w        *world
 	sizer    *pool.Sizer
@@ -53,33 +54,33 @@
 	nextAt   time.Time
 	busy     bool
 
-	// announces is how long it takes to write what is about to be ordered. loseOrders lets
-	// every other order be carried out without an answer, and lateOrders that long after it
-	// was given.
+	// announceDelay is how long it takes to store the orders of a plan before they are sent.
+	// unansweredOrders leaves every second order without an answer; such an order is carried
+	// out after orderDelay.
 	announces  time.Duration
 	loseOrders bool
 	lateOrders time.Duration
 	orders     int
 
-	// taken counts the instances that were moved or taken down while awake.
+	// takenDown counts the instances with a worker that were moved or maintained.
 	taken int
 }
 
-// asking is when an owner was asked for its load, and which one.
+// loadRequest holds when an owner was asked for its load, and the owner's epoch.
 type asking struct {
 	at    time.Time
 	epoch int64
 }
 
-// testSizing is what holders size pools by.
+// testSizing holds the options by which the controller sizes pools.
 var testSizing = pool.Options{
 	MoveTime:     testMove,
 	MaintainTime: testMaintain,
 	MoveCost:     pool.DefaultMoveCost,
 }
 
-// newHolder returns a holder of an instance for each worker of the world, and of others that
-// are asleep.
+// newHolder returns a holder with one instance for each worker of the world and the given number of
+// sleeping instances.
 func newHolder(w *world, sleeping int) *holder {
 	h := &holder{
 		w:     w,
@@ -105,7 +106,8 @@
 	return h
 }
 
-// act begins a round when one is due: it tells the owner what is closed, and asks it.
+// runRound begins a round if one is due: it tells the owner which workers are closed, and requests
+// the owner's load.
 func (h *holder) act() {
 	if h.busy || h.w.now.Before(h.nextAt) {
 		return
@@ -115,12 +117,13 @@
 		at:    h.w.now,
 		epoch: h.w.epoch,
 	}
-	list := h.list()
+	instanceList := h.list()
 	load, known := h.ask()
-	h.w.after(tick, func() { h.plan(list, load, known, asked) })
+	h.w.after(tick, func() { h.plan(instanceList, load, known, asked) })
 }
 
-// ask tells the owner what the last plan closes, and returns its load.
+// requestLoad tells the owner which workers have ended and which the last plan closes. It returns
+// the owner's load, or false if there is no owner.
 func (h *holder) ask() (shard.Load, bool) {
 	if h.w.ownerless {
 		return shard.Load{}, false
@@ -136,9 +139,9 @@
 	return h.w.core.Load(h.w.now), true
 }
 
-// list returns the instances as the platform lists them.
+// instanceList returns the instances as the platform lists them.
 func (h *holder) list() []outside.Instance {
-	var list []outside.Instance
+	var instanceList []outside.Instance
 	for _, m := range h.machines {
 		one := outside.Instance{
 			ID:    m.id,
@@ -152,12 +155,13 @@
 		if m.worker != nil {
 			one.Worker = m.worker.reg.ID
 		}
-		list = append(list, one)
+		instanceList = append(instanceList, one)
 	}
-	return list
+	return instanceList
 }
 
-// plan makes a plan, and orders what it says once that is announced.
+// plan makes a plan, announces it and then sends its orders. It sends none if the load is older
+// than maxLoadAge by then, or from another owner.
 func (h *holder) plan(list []outside.Instance, load shard.Load, known bool, asked asking) {
 	plan := h.sizer.Plan(pool.View{
 		Now:       h.w.now,
@@ -179,15 +183,15 @@
 	}
 	h.w.giving = givenBy(plan)
 	h.w.after(h.announces, func() {
-		waits := tick
+		wait := tick
 		if h.w.now.Sub(asked.at) <= holderFresh && h.w.epoch == asked.epoch {
-			waits = h.order(plan)
+			wait = h.order(plan)
 		}
-		h.w.after(waits, h.end)
+		h.w.after(wait, h.end)
 	})
 }
 
-// givenBy returns the workers whose instances a plan orders.
+// affectedWorkers returns the workers on the instances that a plan moves or maintains.
 func givenBy(plan pool.Plan) []string {
 	var list []string
 	for _, move := range plan.Moves {
@@ -205,31 +209,32 @@
 	h.nextAt = h.w.now.Add(holderPause)
 }
 
-// order gives the orders of a plan; it returns when the last answer is in.
+// sendOrders sends the orders of a plan. It returns how long it takes until the last of them has
+// been answered or has timed out.
 func (h *holder) order(plan pool.Plan) time.Duration {
-	waits := 2 * tick
+	wait := 2 * tick
 	for _, move := range plan.Moves {
 		if h.give(move.Instance, move.To, move.From, move.Worker, 0) {
-			waits = orderFails
+			wait = orderFails
 		}
 	}
 	for _, one := range plan.Maintenances {
 		if h.give(one.Instance, "", one.Pool, one.Worker, one.Wave) {
-			waits = orderFails
+			wait = orderFails
 		}
 	}
-	return waits + tick
+	return wait + tick
 }
 
-// give gives one order; it reports whether that gets no answer.
+// sendOrder sends one order. It reports whether the order gets no answer.
 func (h *holder) give(instance, to, from string, worker outside.Incarnation, wave int64) bool {
 	h.orders++
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	unanswered := h.loseOrders && h.orders%2 == 0
 	if unanswered {
-		late = h.lateOrders
+		delay = h.lateOrders
 	}
-	h.w.after(tick+late, func() {
+	h.w.after(tick+delay, func() {
 		done := h.carryOut(instance, to, wave)
 		switch {
 		case unanswered:
@@ -255,9 +260,9 @@
 	}
 }
 
-// carryOut is what the platform does with an order: everything on the instance dies at once,
-// and a new worker comes once it is back. It reports whether the order had, or has had, its
-// effect.
+// applyOrder applies an order as the platform does. Everything on the instance ends at once, and a
+// new worker starts there once the instance is back. It reports whether the order takes effect or
+// had taken effect before.
 func (h *holder) carryOut(instance, to string, wave int64) bool {
 	m := h.machines[slices.IndexFunc(h.machines, func(m *machine) bool { return m.id == instance })]
 	if m.state != outside.InstanceUp {
@@ -266,10 +271,10 @@
 	if wave == 0 && m.pool == to {
 		return true
 	}
-	dark := testMove
+	downtime := testMove
 	m.state = outside.InstanceMoving
 	if wave > 0 {
-		dark = testMaintain
+		downtime = testMaintain
 		m.state = outside.InstanceMaintenance
 	}
 	if m.worker != nil {
@@ -277,7 +282,7 @@
 		h.w.take(m.worker)
 		m.worker = nil
 	}
-	h.w.after(dark, func() {
+	h.w.after(downtime, func() {
 		m.state = outside.InstanceUp
 		if to != "" {
 			m.pool = to
@@ -290,7 +295,7 @@
 	return true
 }
 
-// take ends a worker because of an order to its instance.
+// terminateWorker ends a worker because of an order to its instance.
 func (w *world) take(f *fakeWorker) {
 	if f.down {
 		return
@@ -302,9 +307,9 @@
 	f.down = true
 	f.crashed = true
 	f.runs = make(map[job.TaskID]*fakeRun)
-	life := f.lives
+	incarnation := f.lives
 	w.after(registrationKept, func() {
-		if f.lives == life {
+		if f.lives == incarnation {
 			f.unlisted = true
 			w.listToOwner()
 		}
--- a/shard/lapse_test.go
+++ b/shard/lapse_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestWorkerIsAskedOnceMoreAfterItsLease lets a worker fall silent, end its task well
-// meanwhile, and answer again just before its lease is over, at different points of a
-// look that is under way then: the task is not started again.
+// TestWorkerIsPolledOnceMoreAfterItsLease covers a worker that stops answering, completes its task
+// in the meantime, and answers again just before its lease lapses, at different points of a poll
+// that is open then. The task is not started again.
 func TestWorkerIsAskedOnceMoreAfterItsLease(t *testing.T) {
 	for early := 100 * time.Millisecond; early <= 700*time.Millisecond; early += 2 * tick {
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestSlowOwnerTakesNoWorkerForLost covers an owner that notices the silence of its
-// looks two seconds late: its own want of processor time may be all that is silent.
+// TestSlowOwnerDoesNotLoseWorkers covers an owner that notices two seconds late that its polls got
+// no answer. The cause may be its own lack of processor time, so it treats no worker as lost.
 func TestSlowOwnerTakesNoWorkerForLost(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -48,7 +48,7 @@
 	w.check(t)
 }
 
-// starts counts the runs that workers have begun.
+// totalStarts counts the runs that all workers have started.
 func starts(w *world) int {
 	sum := 0
 	for _, f := range w.workers {
@@ -57,8 +57,8 @@
 	return sum
 }
 
-// TestLateOwnerGivesNothingUp covers an owner whose starts are answered at once and
-// taken in late: it gives up no worker meanwhile, and does once it is in time again.
+// TestLateOwnerDoesNotLoseWorkers covers an owner whose starts are answered at once but that
+// handles the answers late. It treats no worker as lost until it handles answers in time again.
 func TestLateOwnerGivesNothingUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
--- a/shard/late_start_test.go
+++ b/shard/late_start_test.go
@@ -12,9 +12,10 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// An order to start a task gets no answer, its worker crashes, and the task is started elsewhere.
-// The worker is back under its id, and carries the order out while its first answer is on its
-// way: the task ran twice until the stop arrived that the answer brings about.
+// TestLateStartIsRefusedByTheNextIncarnation covers a start that gets no answer. Its worker
+// crashes, the task is started elsewhere, and the worker restarts under its id. The next
+// incarnation carried the start out while its first answer was on its way, and the task ran twice
+// until the owner had handled that answer and stopped the run.
 func TestLateStartIsRefusedByTheNextIncarnation(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -28,10 +29,10 @@
 	crashed := startedAt(w, "a")
 	w.startAgain(crashed, 5500*time.Millisecond)
 	w.run(5400 * time.Millisecond)
-	is.Equal(len(holderOf(w, "a")), 1) // It runs at the other worker.
+	is.Equal(len(holderOf(w, "a")), 1) // The task runs on the other worker.
 	w.lateAnswers = 800 * time.Millisecond
 	w.run(300 * time.Millisecond)
-	is.True(crashed.fence > 0) // The first look has reached the next incarnation.
+	is.True(crashed.fence > 0) // The first poll has reached the next incarnation.
 	w.run(time.Second)
 	w.lateAnswers = 0
 	w.run(10 * time.Second)
@@ -40,7 +41,7 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// startedAt returns the worker that the only start so far was ordered at.
+// startedWorker returns the worker of the only start that was ordered so far.
 func startedAt(w *world, id string) *fakeWorker {
 	for worker, load := range w.core.Load(w.now).Workers {
 		if load.Runs > 0 {
@@ -50,14 +51,13 @@
 	panic("no task of job " + id + " was started")
 }
 
-// TestLateStartsUnderFaults lets workers crash and start again under their ids while orders to
-// start tasks get no answer and are carried out up to 3 s late, and answers to looks are on
-// their way for up to 1.5 s.
+// TestLateStartsUnderFaults restarts workers under their ids while starts get no answer and are
+// carried out up to 3 s late, and answers to polls take up to 1.5 s.
 func TestLateStartsUnderFaults(t *testing.T) {
 	prove.Property(t, lateStarts)
 }
 
-// lateStarts plays one such day.
+// simulateLateStarts does one such simulation run.
 func lateStarts(t *rapid.T) {
 	w := newWorld(4)
 	w.run(200 * time.Millisecond)
@@ -65,14 +65,14 @@
 	count := rapid.IntRange(5, 25).Draw(t, "rounds")
 	for i := 0; i < count; i++ {
 		f := w.workers[rapid.SampledFrom(names).Draw(t, "worker")]
-		away := time.Duration(rapid.IntRange(0, 100).Draw(t, "away")) * tick
+		downtime := time.Duration(rapid.IntRange(0, 100).Draw(t, "away")) * tick
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0:
 			w.takeOver()
 		case 1, 2:
 			w.lose = time.Duration(rapid.IntRange(0, 300).Draw(t, "late starts")) * tick
 		case 3, 4, 5:
-			w.startAgain(f, away)
+			w.startAgain(f, downtime)
 		case 6:
 			w.lateAnswers = time.Duration(rapid.IntRange(0, 150).Draw(t, "late answers")) * tick
 		default:
--- a/shard/link_test.go
+++ b/shard/link_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// lookBytes and startBytes are what a look and an order to start put on the wire,
-	// beside the text of a job.
+	// pollBytes and startBytes are the sizes of a poll and of a start order on the wire, without
+	// the text of the job.
 	lookBytes  = 300
 	startBytes = 400
 
-	// startFails is how long an order to start is waited for.
+	// startTimeout is how long the owner waits for the answer to a start order.
 	startFails = 700 * time.Millisecond
 
-	// thinBits is the thinnest link of an entry, in bits a second.
+	// minLinkBits is the rate of the slowest link of an entry, in bits per second.
 	thinBits = 2_000_000
 )
 
-// wire is a link that carries one message after another.
+// wire is a link that sends one message after another.
 type wire struct {
 	bytesPerSecond int
 	free           time.Time
 
-	// unanswered counts messages that stood in its queue for longer than their answer
-	// is waited for.
+	// unanswered counts messages that were queued for longer than the sender waits for an answer.
 	unanswered int
 }
 
-// send puts a message on the wire and returns how long it stands in the queue.
+// send queues a message and returns how long it takes until the message is sent. A nil wire delays
+// nothing.
 func (w *wire) send(bytes int, now time.Time) time.Duration {
 	if w == nil {
 		return 0
@@ -47,9 +47,9 @@
 	return w.free.Sub(now)
 }
 
-// replayTurn lets a turn of demand begin at a service with room for it, on a thin link:
-// lasting tasks run, and then several times as many tasks wait as the link can order in a
-// second.
+// simulateDemandBurst simulates a demand burst on a slow link at a service with enough capacity.
+// Long-running tasks run, and then several times as many tasks wait as the link can order to start
+// in one second. starts bounds the bytes of start orders; nil bounds nothing.
 func replayTurn(t *testing.T, starts *link.Budget) *world {
 	t.Helper()
 	const workers = 100
@@ -74,8 +74,9 @@
 	return w
 }
 
-// TestTurnOnAThinLinkLeavesRenewalsTheirPlace replays the beginning of a turn: no order
-// and no look waits for so long that it counts as without an answer, and everything ends.
+// TestDemandBurstOnASlowLinkDoesNotDelayPolls simulates the beginning of a demand burst. No start
+// and no poll is queued for so long that it counts as unanswered, and every job of the burst
+// completes.
 func TestTurnOnAThinLinkLeavesRenewalsTheirPlace(t *testing.T) {
 	is := is.New(t)
 	w := replayTurn(t, link.StartBudget(thinBits))
@@ -87,8 +88,8 @@
 	is.Equal(w.shown["lasting"], job.Running)
 }
 
-// TestTurnOnAThinLinkWithoutABudget shows that the load above is one that needs it: without
-// the budget, rules break there as well.
+// TestDemandBurstOnASlowLinkNeedsABudget checks that the load above needs the budget of start
+// orders: without it, messages are queued for too long, which leads to violations as well.
 func TestTurnOnAThinLinkWithoutABudget(t *testing.T) {
 	is := is.New(t)
 	w := replayTurn(t, nil)
--- a/shard/chain_test.go
+++ b/shard/takeover_chain_test.go
@@ -11,11 +11,11 @@
 	"lemonstream.dev/lemonstream/internal/prove"
 )
 
-// TestWaitForAnOwnerThatLivesOutlastsItsSuccessor lets an owner be cut off from the
-// store and from the others, but not from a worker beside it, which it renews as long as
-// an owner goes on without the store. Its successor knows how long that can take, and
-// ends soon: before it has looked at the worker or after, and before it has written
-// anything or after. The one after that may not start the task elsewhere any sooner.
+// TestWaitForDeposedOwnerOutlastsItsSuccessor cuts an owner off from the store and from all workers
+// but one, whose lease it renews for as long as an owner stays active without the store. The next
+// owner knows how long that can take, but ends soon: before or after it has polled the worker,
+// and before or after its first write. The owner after that may not start the task elsewhere any
+// sooner.
 func TestWaitForAnOwnerThatLivesOutlastsItsSuccessor(t *testing.T) {
 	next := map[string]func(w *world){
 		"released": func(w *world) { w.release(0) },
@@ -26,20 +26,21 @@
 		},
 	}
 	for name, succeed := range next {
-		for _, acts := range []time.Duration{0, time.Second} {
-			for _, looks := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s after %v, looks %v", name, acts, looks), func(t *testing.T) {
-					outlasts(t, acts, looks, succeed)
+		for _, activeFor := range []time.Duration{0, time.Second} {
+			for _, polls := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s after %v, polls %v", name, activeFor, polls), func(t *testing.T) {
+					outlasts(t, activeFor, polls, succeed)
 				})
 			}
 		}
 	}
 }
 
-// outlasts lets the owner in the middle act for a while, with looks or without.
-func outlasts(t *testing.T, acts time.Duration, looks bool, succeed func(w *world)) {
+// checkWaitOutlasts does one run in which the second owner is active for a while and polls workers
+// or not.
+func outlasts(t *testing.T, activeFor time.Duration, polls bool, succeed func(w *world)) {
 	t.Helper()
-	const actsOn = 3250 * time.Millisecond // What BlindFor reckons with after a claim.
+	const actsOn = 3250 * time.Millisecond // How long a deposed owner can stay active.
 	is := is.New(t)
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
@@ -47,9 +48,9 @@
 	w.run(time.Second)
 	f := holderOf(w, "a")[0]
 	first := w.epoch
-	f.cut = true // From all but the owner before.
+	f.cut = true // Only the first owner still reaches the worker.
 	until := w.now.Add(actsOn)
-	goOn := func(d time.Duration) {
+	runFor := func(d time.Duration) {
 		for end := w.now.Add(d); w.now.Before(end); {
 			if w.now.Before(until) {
 				f.renew(w, first, w.now.Sub(w.start)+testLease)
@@ -58,17 +59,17 @@
 		}
 	}
 	w.takeOverFromLiving(actsOn)
-	w.standbyAway = !looks // No worker is looked at before that part is read.
-	goOn(acts)
+	w.standbyAway = !polls // No worker is polled before the standby partition is read.
+	runFor(activeFor)
 	succeed(w)
 	w.standbyAway = false
-	goOn(10 * time.Second)
+	runFor(10 * time.Second)
 	is.Equal(len(holderOf(w, "a")), 1)
 	w.check(t)
 }
 
-// TestHandedOverWaitsCarryTakeovers takes away what owners hand over of a living owner
-// before them. That is cut off with one worker, and up to three follow it quickly.
+// TestHandedOverWaitsCarryTakeovers removes from handovers how long earlier owners may stay active.
+// The first owner is cut off together with one worker, and up to three owners follow it quickly.
 func TestHandedOverWaitsCarryTakeovers(t *testing.T) {
 	prove.Guard(t, prove.AtMostOnce, "wait-outlasts-its-owner", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
--- a/shard/doubt_test.go
+++ b/shard/unanswered_start_test.go
@@ -7,18 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// TestWorkingTaskIsNotStoppedForAStartWithoutAnAnswer covers starts of lasting tasks that their
-// workers carry out, while neither they nor a look are answered. After its second try each run
-// was stopped, so that the task could start elsewhere, and by then it was at work: two of a
-// step went of which one may be away, and the stops were repeated after a look had shown the
+// TestUnansweredStartDoesNotStopAvailableTask covers starts of long-running tasks that are carried
+// out, while neither the starts nor the polls are answered. After its second attempt each run was
+// stopped so that the task could start elsewhere, but by then the task was available. Two tasks of
+// a step that may miss one were stopped, and the stops were retried after a poll had listed the
 // runs.
-//
-//	12.492 start ordered task=1 worker=i-0fe646574a away=3 may_miss=1
-//	13.901 start failed task=1 worker=i-0fe646574a away=3
-//	13.901 stop ordered task=1 worker=i-0fe646574a reason="start without an answer"
-//	14.664 stop ordered task=1 worker=i-0fe646574a reason="start without an answer" away=1
-//	15.486 stop ordered task=1 worker=i-0fe646574a reason="start without an answer" away=3
-//	16.275 run ended task=1 worker=i-0fe646574a how=stopped
 func TestWorkingTaskIsNotStoppedForAStartWithoutAnAnswer(t *testing.T) {
 	is := is.New(t)
 	w := startsWithoutAnswers(is)
@@ -32,8 +25,8 @@
 	is.Equal(w.atWorkOf("a"), 3)
 }
 
-// TestTaskWhoseStartGotNoAnswerStartsElsewhere covers such starts that are not carried out: once
-// a look shows that the run isn't there, the task goes elsewhere.
+// TestTaskStartsElsewhereAfterUnansweredStart covers unanswered starts that are not carried out.
+// Once a poll shows that the run does not exist, the task starts elsewhere.
 func TestTaskWhoseStartGotNoAnswerStartsElsewhere(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -49,9 +42,9 @@
 	is.Equal(w.atWorkOf("a"), 2)
 }
 
-// startsWithoutAnswers returns a world in which two of three lasting tasks, of which one may be
-// away, have just lost their workers and are started again. Nothing that workers answer gets
-// through from then on.
+// newUnansweredStarts returns a world with three long-running tasks of a step that may miss one.
+// Two of them have just lost their workers and are started again. No start or poll is answered
+// from then on.
 func startsWithoutAnswers(is *is.I) *world {
 	w := newWorld(5)
 	w.run(200 * time.Millisecond)
@@ -61,10 +54,10 @@
 	w.run(5 * time.Second)
 	is.Equal(w.atWorkOf("a"), 3)
 	w.lose = tick
-	again := 0
+	restarts := 0
 	w.report = func(event string, _ ...any) {
 		if event == "start ordered" {
-			again++
+			restarts++
 			w.loseLooks = 2 * time.Second
 			w.lookFails = 1600 * time.Millisecond
 		}
@@ -72,13 +65,13 @@
 	for _, name := range w.holders()[:2] {
 		w.startAgain(w.workers[name], 300*time.Millisecond)
 	}
-	for again < 2 {
+	for restarts < 2 {
 		w.run(tick)
 	}
 	return w
 }
 
-// atWorkOf counts the tasks of a job's first step that are at work.
+// availableRuns counts the available runs of a job.
 func (w *world) atWorkOf(id string) int {
 	count := 0
 	for _, f := range w.workers {
