--- a/shard/room_test.go
+++ b/shard/capacity_test.go
@@ -12,9 +12,8 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// TestShrunkRoomTakesNothingMore lets the room of every worker shrink under what runs
-// there. Nothing is started until as much has ended, what runs goes on, and once the room
-// has grown again everything ends.
+// TestShrunkCapacityStopsNewStarts shrinks the capacity of every worker below the resources that
+// its runs take. Runs continue, and no task is started until enough of them have ended.
 func TestShrunkRoomTakesNothingMore(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -37,8 +36,8 @@
 	w.check(t)
 }
 
-// TestNoStartBeyondARoomThatChanges changes rooms at any moment, under takeovers: the
-// oracle reports a start on a worker whose room, as it says itself, does not hold it.
+// TestNoStartExceedsChangingCapacity changes capacities at any moment, amid takeovers. The
+// oracle reports a start that exceeds the capacity that the worker itself reports.
 func TestNoStartBeyondARoomThatChanges(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(4)
--- a/shard/order_test.go
+++ b/shard/order_test.go
@@ -9,9 +9,9 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// TestBegunJobGoesOn replays a job that comes while another one is half done, with a
-// deadline that is a little earlier, and room for one of them: the one that was begun
-// ends, so that one of the two is in time, not none.
+// TestStartedJobIsFinishedFirst submits a job with a slightly earlier deadline while another
+// job is half done and the worker has capacity for only one of them. The started job must
+// finish first: otherwise both miss their deadlines.
 func TestBegunJobGoesOn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
--- a/shard/pace_test.go
+++ b/shard/pace_test.go
@@ -23,19 +23,19 @@
 	f.figure = 20
 	w.run(2 * time.Second)
 	is.Equal(len(f.runs), 2)
-	is.Equal(len(f.shares), 0) // Nothing is paced while the tail is well.
+	is.Equal(len(f.shares), 0) // No filler is paced while the tail latency is below its target.
 	f.figure = 150
 	w.run(3 * time.Second)
 	filler := job.TaskID{
 		Job: "fill",
 	}
-	is.Equal(f.shares[filler], 0) // A tail over its target halts the filler.
+	is.Equal(f.shares[filler], 0) // A tail latency above the target halts the filler.
 	f.figure = 20
 	w.run(5 * time.Second)
-	is.Equal(f.shares[filler], 100) // And it comes back once the tail is well.
+	is.Equal(f.shares[filler], 100) // The filler resumes once the tail latency is below its target.
 	_, paced := f.shares[job.TaskID{
 		Job: "serve",
 	}]
-	is.True(!paced) // What serves is never paced.
+	is.True(!paced) // A serving task is never paced.
 	w.check(t)
 }
--- a/shard/quota_test.go
+++ b/shard/quota_test.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// quotaTasks is how many tasks of a step the service may run of the organisation.
+	// quotaTasks is the number of tasks, each as large as those of step, that the service may
+	// run for the organisation at once.
 	quotaTasks = 5
 
 	organisation = "north"
 )
 
-// worldQuota is what the service of a world may use of the limit of its organisation.
+// worldQuota is the limit of an organisation and the share of it that the service may use.
 type worldQuota struct {
 	share quota.Share
 	limit job.Room
 
-	// forgetful says that a new owner knows nothing of what owners before may have running.
+	// hideInherited keeps a new owner from learning what runs of previous owners may use.
 	forgetful bool
 }
 
-// newQuota returns half of a limit of twice quotaTasks.
+// newQuota returns a share of one half of a limit of 2*quotaTasks tasks.
 func newQuota() *worldQuota {
 	return &worldQuota{
 		share: quota.Whole / 2,
@@ -48,7 +49,7 @@
 	return organisation
 }
 
-// quotaOf returns what the owner of an epoch is told.
+// quotaOf returns the function by which the owner of an epoch looks up quotas.
 func (w *world) quotaOf(epoch int64) func(string) (shard.Quota, bool) {
 	return func(name string) (shard.Quota, bool) {
 		if name != organisation {
@@ -65,7 +66,8 @@
 	}
 }
 
-// judgeQuota notes a start that lifts what runs above the quota.
+// checkQuota records a violation if the start of a task raised the usage of the organisation
+// above its quota.
 func (w *world) judgeQuota(id job.TaskID) {
 	if w.quota == nil {
 		return
@@ -80,7 +82,7 @@
 		}
 	}
 	if most := w.quota.share.Of(w.quota.limit); running.MilliCPU > most.MilliCPU {
-		w.fault("%s starts and lifts what its organisation runs to %+v of %+v", id, running, most)
+		w.fault("start of %s raises the usage of its organisation to %+v, above its quota of %+v", id, running, most)
 	}
 }
 
@@ -93,9 +95,10 @@
 	})
 }
 
-// An organisation ran more than its quota where owners of a service followed each other: the
-// new one counted what it had started itself. What may run on workers that it has not seen
-// counts as well, up to what the owner before was allowed.
+// TestQuotaCountsRunsOfOwnersBefore guards against an organisation that exceeds its quota
+// after a change of owner, because the new owner counts only the runs that it has started
+// itself. Usage on workers that it has not polled yet counts as well, up to the quota of the
+// previous owner.
 func TestQuotaCountsRunsOfOwnersBefore(t *testing.T) {
 	prove.Scenario(t, prove.Quota, "runs-of-owners-before", func(on bool) string {
 		w := newWorld(3)
@@ -157,9 +160,10 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// An organisation that asked for several times its quota had all of its jobs taken, since the
-// service had room for them. They waited for the quota until they were of no use, and so did
-// what counted as work before the jobs of others.
+// TestJobsThatWaitForQuotaAreRefused guards against accepting all jobs of an organisation that
+// submits several times its quota because the service has capacity for them. Such jobs waited
+// for the quota until they were worth nothing, and they counted as backlog ahead of the jobs of
+// other organisations.
 func TestWorkThatWaitsForItsQuotaIsTurnedAway(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(20)
@@ -179,7 +183,7 @@
 			turned++
 		}
 	}
-	is.True(turned >= jobs/2) // A third of it can run within a useful time.
+	is.True(turned >= jobs/2) // About a third of the jobs can end in time.
 	is.True(turned < jobs*9/10)
 	other := w.record("other", step(4))
 	other.Organisation = "south"
@@ -190,8 +194,9 @@
 	w.check(t)
 }
 
-// A gang that is larger than the whole limit of its organisation was taken in, and waited for
-// good: its tasks only start together.
+// TestGangAboveOrganisationLimitIsRefused guards against accepting a gang that is larger than
+// the whole limit of its organisation. Its tasks start only together, so that the gang waited
+// forever.
 func TestGangAboveTheWholeLimitIsTurnedAway(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
@@ -204,7 +209,7 @@
 	fitting := step(2 * quotaTasks)
 	fitting.Gang = true
 	w.handIn("fitting", fitting)
-	w.handIn("wide", step(2*quotaTasks+1)) // Its tasks start as others end.
+	w.handIn("wide", step(2*quotaTasks+1)) // Not a gang: its tasks may start as others end.
 	w.run(8 * time.Second)
 	is.Equal(w.taken["large"], false)
 	_, turnedAway := w.refused["large"]
--- a/shard/record_test.go
+++ b/shard/record_test.go
@@ -51,8 +51,8 @@
 	is.Equal(read, progress)
 }
 
-// TestFormOfProgressRows keeps the bytes of a row: entries of two versions read each
-// other's while one replaces the other.
+// TestProgressEncodingIsStable checks the encoded bytes of progress rows. During an upgrade
+// entries of the old and the new version read each other's rows.
 func TestFormOfProgressRows(t *testing.T) {
 	is := is.New(t)
 	before := shard.Progress{
@@ -63,7 +63,7 @@
 		},
 	}
 	const bytesBefore = "a3016772756e6e696e6702617104a165302e312e32820105"
-	is.Equal(hex.EncodeToString(before.Encode()), bytesBefore) // Nothing is added where nothing crashed.
+	is.Equal(hex.EncodeToString(before.Encode()), bytesBefore) // Crashes take no bytes if there are none.
 	now := before
 	now.Crashed = map[string][]string{
 		"0.1.2": {"w1"},
@@ -87,5 +87,5 @@
 	_, err = shard.DecodeRecord(shard.Record{
 		ID: "a",
 	}.Encode())
-	is.True(err != nil) // A job without steps was never accepted.
+	is.True(err != nil) // A job without steps is never accepted.
 }
--- a/shard/refuse_test.go
+++ b/shard/refuse_test.go
@@ -13,11 +13,11 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// comeBack is how soon a caller that was turned away comes back at the earliest.
+// retryAfter is the minimum time after which a refused caller submits its job again.
 const comeBack = time.Second
 
-// ask hands a job in at the owner, as read by an entry a while ago, and notes what the
-// caller hears.
+// submitWithAge submits a job to the owner, as read by an entry the given time ago, and
+// records the answer to the caller.
 func (w *world) ask(id string, age time.Duration, steps ...job.Step) {
 	record := w.record(id, steps...)
 	record.AcceptedMillis = w.now.Add(-age).UnixMilli()
@@ -30,9 +30,9 @@
 	})
 }
 
-// writeLate lets the write of an entry, of a try that it read a while before, reach the
-// store now. It has the conditions of such a write: the job is not known, and no refusal
-// stands that covers the try. It reports whether the record stands.
+// applyLateWrite applies the write of an entry that read the job the given time ago. The write
+// has the conditions of a real one: the job is unknown, and no stored refusal covers this
+// attempt. It reports whether the record is stored.
 func (w *world) writeLate(id string, age time.Duration, steps ...job.Step) bool {
 	if _, stands := w.records[id]; stands {
 		return true
@@ -50,15 +50,15 @@
 	return true
 }
 
-// readIntake lets the owner find the records that entries wrote.
+// readIntake passes all stored records to the owner, including those that entries wrote.
 func (w *world) readIntake() {
 	for _, record := range w.records {
 		w.core.Accept(record, w.version, false, w.now)
 	}
 }
 
-// overloaded returns a world of one worker that has more to do than it can in a time that
-// is of use.
+// newOverloadedWorld returns a world whose only worker cannot run all submitted jobs before
+// their deadlines.
 func overloaded() *world {
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
@@ -70,8 +70,8 @@
 	return w
 }
 
-// TestJobThatIsOfNoUseIsTurnedAwayAtOnce covers more work than room: what would end too
-// late is refused, truly, and what was taken ends.
+// TestJobThatWouldEndTooLateIsRefused submits more jobs than one worker can run in time. Jobs
+// that would end too late are refused and never run; every accepted job completes.
 func TestJobThatIsOfNoUseIsTurnedAwayAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
@@ -79,7 +79,7 @@
 	turned := 0
 	for i := range 20 {
 		id := fmt.Sprintf("before-%02d", i)
-		is.True(w.taken[id] != w.turned[id]) // Each has its answer.
+		is.True(w.taken[id] != w.turned[id]) // Each job is either accepted or refused.
 		if w.turned[id] {
 			turned++
 		}
@@ -96,7 +96,7 @@
 	w.check(t)
 }
 
-// TestRefusedJobMayComeBack covers a caller that comes back once there is room.
+// TestRefusedJobMayBeSubmittedAgain submits a refused job again once there is capacity.
 func TestRefusedJobMayComeBack(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
@@ -109,8 +109,8 @@
 	w.check(t)
 }
 
-// TestEarlierTryOfRefusedJobDoesNotRun covers an entry whose write takes effect after the
-// owner has turned the job away, at the owner itself and at its successor.
+// TestEarlierAttemptOfRefusedJobDoesNotRun covers the write of an entry that takes effect after
+// the owner has refused the job, both with the same owner and with the next one.
 func TestEarlierTryOfRefusedJobDoesNotRun(t *testing.T) {
 	for name, takenOver := range map[string]bool{
 		"same owner": false,
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestTryJustBeforeARefusalDoesNotRun covers a caller whose connection broke and who went
-// on to another entry at once: the first one read the job a moment before it was refused.
+// TestAttemptJustBeforeRefusalDoesNotRun covers a caller whose connection broke and who turned
+// to another entry at once. The first entry read the job shortly before it was refused.
 func TestTryJustBeforeARefusalDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
@@ -147,13 +147,13 @@
 	w.check(t)
 }
 
-// TestJobThatAnEntryHasWrittenIsNotTurnedAway covers an entry that waits for the owner in
-// vain, writes the record itself and says so, while the owner is about to refuse the job.
+// TestJobWrittenByAnEntryIsNotRefused covers an entry that gets no answer from the owner and
+// writes the record itself, while the owner is about to refuse the job.
 func TestJobThatAnEntryHasWrittenIsNotTurnedAway(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
 	w.ask("slow", 0, step(4))
-	is.True(w.writeLate("slow", 0, step(4))) // Nothing says yet that it is refused.
+	is.True(w.writeLate("slow", 0, step(4))) // No refusal is stored yet.
 	w.run(200 * time.Millisecond)
 	is.True(w.taken["slow"])
 	is.True(!w.turned["slow"])
@@ -162,12 +162,12 @@
 	w.check(t)
 }
 
-// TestEarlierHandInOfRefusedJobDoesNotRun covers a call to the owner that arrives after
-// the job was turned away by another entry's call.
+// TestEarlierSubmissionOfRefusedJobDoesNotRun covers a call to the owner that arrives after the
+// job was refused in a call of another entry.
 func TestEarlierHandInOfRefusedJobDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
-	w.run(8 * time.Second) // There is room again.
+	w.run(8 * time.Second) // The worker has capacity again.
 	is.True(w.turned["before-19"])
 	w.ask("before-19", 9*time.Second, step(4))
 	w.run(3 * time.Second)
@@ -177,8 +177,8 @@
 	w.check(t)
 }
 
-// TestJobThatStandsIsNotTurnedAway covers a job that an entry wrote, and that its caller
-// sends again before the owner has found it.
+// TestStoredJobIsNotRefused covers a job whose record was written by an entry and which its
+// caller submits again before the owner has read the record.
 func TestJobThatStandsIsNotTurnedAway(t *testing.T) {
 	is := is.New(t)
 	w := overloaded()
@@ -192,10 +192,9 @@
 	w.check(t)
 }
 
-// TestRefusalsAreTrue draws tries of the same jobs at several entries, calls and writes
-// that arrive late, takeovers and times without the store. The oracle knows what each
-// caller heard last: a job whose last answer was a refusal never starts, and one that was
-// taken is not lost.
+// TestRefusalsAreTrue draws attempts to submit the same jobs through several entries, calls and
+// writes that arrive late, takeovers and outages of the store. The oracle knows the last answer
+// to each caller: a job that was refused last never starts, and an accepted job is never lost.
 func TestRefusalsAreTrue(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(1)
@@ -209,16 +208,16 @@
 				if w.turned[id] && w.now.Sub(w.heard[id]) < comeBack {
 					break
 				}
-				// A new try: what the caller heard before holds no more.
+				// A new attempt: the answer to the previous one no longer applies.
 				w.turned[id] = false
 				w.ask(id, 0, step(4))
 			case 3:
-				// An earlier try at another entry, read before the last answer.
+				// An earlier attempt that another entry read before the last answer.
 				if w.turned[id] {
 					w.writeLate(id, w.now.Sub(w.heard[id])+comeBack, step(4))
 				}
 			case 4:
-				// Likewise, on its way to the owner.
+				// Such an attempt whose call reaches the owner late.
 				if w.turned[id] {
 					w.ask(id, w.now.Sub(w.heard[id])+comeBack, step(4))
 				}
@@ -229,8 +228,8 @@
 			case 7:
 				w.readIntake()
 			case 8:
-				// An entry that gave up on the owner writes the record itself, of a new try
-				// or of one that the owner is just deciding on, and says so.
+				// An entry that got no answer from the owner writes the record itself and
+				// tells its caller. The attempt is new, or the owner is still deciding on it.
 				if w.turned[id] && w.now.Sub(w.heard[id]) < comeBack {
 					break
 				}
@@ -251,7 +250,7 @@
 		w.run(time.Minute)
 		for id := range stays {
 			if w.shown[id] != job.Completed {
-				w.fault("%s was taken and is %q", id, w.shown[id])
+				w.fault("job %s was accepted but its state is %q", id, w.shown[id])
 			}
 		}
 		w.check(t)
--- a/shard/vacancy_test.go
+++ b/shard/released_test.go
@@ -11,16 +11,16 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// orderedWithin is how long after it asked for a load a holder of the instances may give an
-// order by it, and orderTakes how long that may take to have its effect.
+// maxOrderDelay is the maximum time from the request for a load until the instance controller
+// sends an order based on it. maxEffectDelay is the maximum time until that order takes effect.
 const (
 	orderedWithin = time.Second
 	orderTakes    = 900 * time.Millisecond
 )
 
-// TestTaskInNeedStartsOnNoWorkerThatIsGivenAway lets a holder of the instances ask for a load
-// and order by it as late as it may, while lasting tasks have nowhere to go but to the worker
-// that the load has shown closed and empty.
+// TestStuckTaskDoesNotStartOnReleasedWorker lets the instance controller send an order as late as
+// it may after its request for a load, while long-running tasks could run only on the worker
+// that the load has reported as closed and empty.
 func TestTaskInNeedStartsOnNoWorkerThatIsGivenAway(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -28,24 +28,24 @@
 	w.submit("a", lasting(2, 1))
 	w.run(2 * time.Second)
 	is.Equal(w.atWorkOf("a"), 2)
-	holder := holderOf(w, "a")[0]
+	running := holderOf(w, "a")[0]
 	var last *fakeWorker
 	for _, f := range w.workers {
-		if f != holder {
+		if f != running {
 			last = f
 		}
 	}
-	w.crashUnder(holder)
+	w.crashUnder(running)
 	w.emptyAndTake(last, 20*time.Second)
 	w.check(t)
 }
 
-// A holder of the instances asks an owner for its load, announces its orders in a row, and gives
-// them. Where the owner was succeeded meanwhile, its successor knew nothing of what was closed,
-// and started tasks on a worker that the load had shown closed and empty: the order to its
-// instance ended them, more of a step at once than may be missing. A successor that claims
-// after the announcement reads it, or knows that it can't; before it, the holder finds another
-// owner and gives no order.
+// TestNextOwnerStartsNothingOnReleasedWorker guards against a next owner that starts tasks on a
+// worker that the previous owner has reported as closed and empty. The instance controller
+// requests the load of an owner, announces its orders in a row and then sends them, and the
+// order would end more tasks of a step at once than may be unavailable. An owner that takes the
+// shard after the announcement reads it, or knows that it can't. If it takes the shard earlier,
+// the instance controller notices the new owner and sends no order.
 func TestSuccessorStartsNothingOnAWorkerThatIsGivenAway(t *testing.T) {
 	for name, succeed := range map[string]func(*world){
 		"died":     func(w *world) { w.takeOver() },
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestSuccessorUsesWorkersThatWereNotGivenAway covers the end of such a wait: the holder of the
-// instances says what is closed, or its orders must have had their effect.
+// TestNextOwnerUsesReleasedWorkerAgain covers the end of the wait for a released worker: the
+// instance controller tells which workers are closed, or all its orders must have taken effect.
 func TestSuccessorUsesWorkersThatWereNotGivenAway(t *testing.T) {
 	for name, tell := range map[string]func(*world){
 		"told":     func(w *world) { w.core.SetClosed(nil, w.now) },
@@ -94,8 +94,8 @@
 	}
 }
 
-// closedAndEmpty returns a world whose only worker that takes tasks is closed, and taken for
-// empty by the pool.
+// newReleasedWorker returns a world and its only worker that can run tasks, which is closed and
+// which the pool takes for empty.
 func closedAndEmpty(is *is.I) (*world, *fakeWorker) {
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
@@ -110,8 +110,8 @@
 	return w, free
 }
 
-// emptyAndTake has a worker emptied for a while, and gives an order to its instance by each
-// load that lets the pool take it for empty, as late as it may have its effect.
+// closeAndTerminate closes a worker for a while. For each load by which the pool takes the worker
+// for empty, it sends an order to the instance that takes effect as late as possible.
 func (w *world) emptyAndTake(f *fakeWorker, d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end) && !f.down; {
 		w.core.SetClosed([]string{f.reg.ID}, w.now)
@@ -122,8 +122,8 @@
 	}
 }
 
-// givenAway reports whether the pool takes a worker for one that nothing runs on, nor will, by
-// its owner's word.
+// isReleased reports whether the load of the owner lets the pool conclude that nothing runs on a
+// worker and that nothing will be started there.
 func givenAway(w *world, f *fakeWorker) bool {
 	wave := &pool.Wave{
 		Wave: outside.Wave{
--- a/shard/restart_test.go
+++ b/shard/restart_test.go
@@ -13,20 +13,10 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// TestEndsOfAWorkerThatStartedAgainCount covers a worker that starts again under its id
-// and counts its ends from 1 anew. Its owner went on with the number of the last end that
-// it had taken in: each end of the new life up to that number was passed over as known and
-// acknowledged with the next look, and the task, in no list any more, was started again. It
-// went on until the new count had passed the old one. What settled it are the runs of one
-// task, each done at a worker that had been away for a moment and had 45 ends behind it
-// before that, and each started by the same owner:
-//
-//	22.570 to 23.485 run 6 on i-4282bd3a0a: done
-//	23.636 to 24.551 run 7 on i-4282bd3a0a: done
-//	24.700 to 25.615 run 8 on i-4282bd3a0a: done
-//	25.764 to 26.678 run 9 on i-4282bd3a0a: done
-//	26.828 to 27.743 run 10 on i-4282bd3a0a: done
-//	27.893 to 28.808 run 11 on i-cf7a7a4a80: done
+// TestEndsOfRestartedWorkerCount guards against an owner that ignores the ends of a restarted
+// worker. The worker numbers its ends from 1 again. An owner that kept the last end number of
+// the previous incarnation took all ends up to that number for known and acknowledged them, so
+// that their tasks ran again until the new numbers exceeded the old one.
 func TestEndsOfAWorkerThatStartedAgainCount(t *testing.T) {
 	for name, away := range map[string]time.Duration{
 		"back before a look has failed":      0,
@@ -58,9 +48,9 @@
 	}
 }
 
-// TestTaskThatCrashesOneWorkerAgainAndAgainIsGivenUp covers a task that crashes the only
-// worker there is, which starts again under its id each time. Crashes were counted by the
-// workers' ids, and a worker that came back under its id was not taken for crashed at all.
+// TestTaskThatCrashesOneWorkerRepeatedlyFails covers a task that crashes the only worker, which
+// restarts under the same id each time. It guards against counting crashes by worker id, and
+// against not recognising the crash of a worker that restarts under its id.
 func TestTaskThatCrashesOneWorkerAgainAndAgainIsGivenUp(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"at once":       tick,
@@ -86,7 +76,7 @@
 	}
 }
 
-// TestCrashesOfOneWorkerCountAcrossOwners lets each of them happen under another owner.
+// TestCrashesOfOneWorkerCountAcrossOwners lets each crash happen under a different owner.
 func TestCrashesOfOneWorkerCountAcrossOwners(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -106,9 +96,9 @@
 	is.Equal(w.shown["bad"], job.Failed)
 }
 
-// TestLookIsCarriedOutLateByTheNextIncarnation covers looks without an answer that reach
-// the worker after it has started again, while it lists ends that nobody has read. An
-// acknowledgement in one of them would let it forget those.
+// TestLatePollReachesNextIncarnation covers unanswered polls that reach the worker after its
+// restart, while it lists ends that no owner has read. An acknowledgement in such a poll would
+// make the worker forget these ends.
 func TestLookIsCarriedOutLateByTheNextIncarnation(t *testing.T) {
 	for late := 800 * time.Millisecond; late <= 2500*time.Millisecond; late += tick {
 		w := newWorld(1)
@@ -122,16 +112,16 @@
 		w.submit("after", step(4))
 		w.run(12 * time.Second)
 		for _, fault := range w.faults {
-			t.Errorf("%v late: %s", late, fault)
+			t.Errorf("delay %v: %s", late, fault)
 		}
 		if w.shown["after"] != job.Completed {
-			t.Errorf("%v late: %s", late, w.shown["after"])
+			t.Errorf("delay %v: job after is %s", late, w.shown["after"])
 		}
 	}
 }
 
-// TestAcknowledgementIsSentUntilItIsHeard counts the looks that acknowledge: each one
-// without an answer may reach the next incarnation of the worker.
+// TestAcknowledgementIsSentUntilAnswered checks that polls stop acknowledging once the worker
+// has answered an acknowledgement. Each unanswered one may reach the next incarnation.
 func TestAcknowledgementIsSentUntilItIsHeard(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -143,12 +133,12 @@
 	heard := w.acknowledging
 	is.True(heard > 0)
 	w.run(4 * time.Second)
-	is.Equal(w.acknowledging, heard) // There is nothing left to forget.
+	is.Equal(w.acknowledging, heard) // The worker has no ends left to forget.
 }
 
-// TestLateStartOfAnEarlierIncarnationIsStopped covers a start without an answer, which its
-// worker carries out after it has started again. It had been stopped there, and the task
-// started elsewhere; the next incarnation knows nothing of the stop.
+// TestLateStartOfAnEarlierIncarnationIsStopped covers an unanswered start that takes effect
+// after its worker has restarted. The owner had stopped the run and started the task on another
+// worker, but the next incarnation does not know of the stop.
 func TestLateStartOfAnEarlierIncarnationIsStopped(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -162,7 +152,7 @@
 	w.lose = 0
 	w.addWorker("w1", "r1-1")
 	w.list()
-	w.run(2500 * time.Millisecond) // The start was repeated, stopped, and given to another.
+	w.run(2500 * time.Millisecond) // The start was retried and stopped, and the task started on w1.
 	is.Equal(len(w.workers["w1"].runs), 1)
 	w.startAgain(w.workers["w0"], 200*time.Millisecond)
 	w.run(30 * time.Second)
@@ -171,10 +161,11 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// TestWorkerThatIsBackFromMaintenanceIsUsed covers an instance that was taken down, whose
-// worker starts again under its id while owners are still told that it has ended. Its ended
-// life was refused by the id, for 60 s, and a new owner that was told ended the new life,
-// with what the owner before had started there.
+// TestWorkerIsUsedAgainAfterMaintenance covers an instance that was taken down and whose worker
+// restarts under its id while owners are still told that the previous incarnation has ended. It
+// guards against recording the end by worker id alone: the worker was then refused for 60 s,
+// and a new owner ended the new incarnation together with the runs that the previous owner had
+// started there.
 func TestWorkerThatIsBackFromMaintenanceIsUsed(t *testing.T) {
 	for name, succeed := range map[string]func(w *world){
 		"the same owner": func(*world) {},
@@ -216,17 +207,18 @@
 	}
 }
 
-// TestIncarnationsUnderFaults lets workers start again under their ids at random, for a
-// moment or for longer than their registration stands, amid takeovers, cuts, outages of the
-// store and orders that are carried out late. With what tells their incarnations apart taken
-// out of all that they say, tasks run twice.
+// TestIncarnationsUnderFaults restarts workers under their ids at random, with downtimes shorter
+// or longer than the lifetime of a registration, amid takeovers, network partitions, outages of
+// the store and orders that take effect late. If registrations and answers do not name the
+// incarnation, tasks run twice.
 func TestIncarnationsUnderFaults(t *testing.T) {
 	prove.Guard(t, prove.AtMostOnce, "answers-name-their-incarnation", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) { restarts(t, on) }
 	})
 }
 
-// restarts plays one such day.
+// simulateRestarts does one simulation run with restarts of workers. If told is false, workers
+// do not name their incarnation.
 func restarts(t *rapid.T, told bool) {
 	w := newWorld(4)
 	w.untold = !told
@@ -266,7 +258,7 @@
 	w.endRestarts(t)
 }
 
-// endRestarts ends the faults of such a day, and checks that every job ends.
+// endSimulation ends all faults and checks that every job ends.
 func (w *world) endRestarts(t *rapid.T) {
 	w.lose = 0
 	w.loseLooks = 0
@@ -284,16 +276,17 @@
 	w.check(t)
 }
 
-// TestLateAnswersUnderFaults takes instances whose workers are back under their ids, and lets
-// others crash, while answers to looks are on their way for up to 1.5 s. Where the owner takes
-// the answer to any look for that to its last one, tasks run twice.
+// TestLateAnswersUnderFaults takes instances down whose workers then restart under their ids, and
+// restarts others without notice, while answers to polls are delayed by up to 1.5 s. If the
+// owner takes the answer to any poll for the answer to its last one, tasks run twice.
 func TestLateAnswersUnderFaults(t *testing.T) {
 	prove.Guard(t, prove.AtMostOnce, "answers-name-their-order", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) { lateAnswers(t, on) }
 	})
 }
 
-// lateAnswers plays one such day.
+// lateAnswers does one simulation run with late answers to polls. If named is false, the answer
+// to any poll passes for the answer to the last one.
 func lateAnswers(t *rapid.T, named bool) {
 	w := newWorld(4)
 	w.unnamed = !named
@@ -328,9 +321,9 @@
 	w.endRestarts(t)
 }
 
-// TestStartThatWasUnderWayAsItsRunEndedHoldsNoRoom covers a start that is repeated, whose run
-// ends before the repetition is answered. At the next incarnation it was waited for an answer
-// that had come already: the run was never stopped, and took its room for ever.
+// TestRetriedStartOfEndedRunFreesItsResources covers a start that is retried and whose run ends
+// before the retry is answered. After the restart of the worker the owner waited for an answer
+// that it had already received, so that the run was never stopped and kept its resources.
 func TestStartThatWasUnderWayAsItsRunEndedHoldsNoRoom(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -353,17 +346,11 @@
 	w.check(t)
 }
 
-// TestAnswerOfAnIncarnationThatEndedIsPassedOver covers an instance that is taken and back
-// under the id of its worker while a look at the incarnation before is under way. Its answer
-// came after the first one of the next incarnation, and was taken for that of yet another
-// one: what ran there was given up as lost, marked as having crashed its worker, and started
-// again beside itself. What settled it are the lines of one owner, whose second incarnation
-// is older than the first, and the two starts of a task:
-//
-//	55.723 run 1 starts on m-0-1@...5338
-//	55.793 worker started again worker=m-0-1@...3890 before=m-0-1@...5338 runs=4
-//	55.793 run lost reason="worker started again"
-//	55.797 run 2 starts on m-0-1@...5338
+// TestAnswerOfEndedIncarnationIsIgnored covers an instance that is taken down and comes back
+// under the same worker id while a poll of the previous incarnation is in flight. Its answer
+// arrives after the first answer of the next incarnation. An owner that took it for the answer
+// of a third incarnation gave up the current runs as lost, recorded crashes for them and started
+// their tasks a second time.
 func TestAnswerOfAnIncarnationThatEndedIsPassedOver(t *testing.T) {
 	for late := 100 * time.Millisecond; late <= 1500*time.Millisecond; late += 100 * time.Millisecond {
 		w := newWorld(1)
@@ -379,21 +366,21 @@
 		w.submit("a", long)
 		w.run(12 * time.Second)
 		for _, fault := range w.faults {
-			t.Errorf("%v late: %s", late, fault)
+			t.Errorf("delay %v: %s", late, fault)
 		}
 		if got := starts(w); got != 2 {
-			t.Errorf("%v late: %d starts", late, got)
+			t.Errorf("delay %v: %d starts, want 2", late, got)
 		}
 		if w.shown["a"] != job.Completed {
-			t.Errorf("%v late: %s", late, w.shown["a"])
+			t.Errorf("delay %v: job a is %s", late, w.shown["a"])
 		}
 	}
 }
 
-// TestWorkerThatIsBackWhileNamedIsNotUsedYet covers a worker whose lease lapsed in silence, so
-// that a row tells a successor that nothing runs there, and which answers again with another
-// incarnation while the store is away. That the row still names it was forgotten with the
-// incarnation before: 4 tasks began there that a successor was told not to look for.
+// TestRestartedWorkerInHandoverIsNotUsedYet covers a worker whose lease lapsed without an answer,
+// so that the stored handover lists it as idle, and which answers again with another incarnation
+// during an outage of the store. The owner must not forget with the previous incarnation that
+// the handover still lists the worker: the next owner does not look for runs on such a worker.
 func TestWorkerThatIsBackWhileNamedIsNotUsedYet(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -421,9 +408,9 @@
 	is.Equal(w.shown["b"], job.Completed)
 }
 
-// TestTakenIncarnationBringsNoOtherBack tells an owner of a taken instance after the next
-// incarnation of its worker has ended as well. The one word took the place of the other, and
-// the registration of the later one, which still stood, was taken for a new worker's.
+// TestTakenIncarnationDoesNotReviveLaterOne repeats to an owner that an incarnation has ended
+// after the next incarnation has ended as well. If the repeated notice replaces the later one,
+// the stored registration of the later incarnation is taken for that of a new worker.
 func TestTakenIncarnationBringsNoOtherBack(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -449,8 +436,8 @@
 	is.Equal(listed, 0)
 }
 
-// TestStartUnderWayAtTheEndOfAnIncarnationIsStopped covers a start that is under way as its
-// worker is taken for ended: it reaches the next incarnation under the same id.
+// TestStartInFlightAtEndOfIncarnationIsStopped covers a start that is in flight when the owner
+// records its worker as ended. The start reaches the next incarnation under the same id.
 func TestStartUnderWayAtTheEndOfAnIncarnationIsStopped(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -20,7 +20,7 @@
 	w.run(3 * time.Second)
 	w.check(t)
 	is.Equal(w.shown["a"], job.Completed)
-	is.Equal(len(w.records), 0) // The record goes with the final state.
+	is.Equal(len(w.records), 0) // The record is removed when the final state is stored.
 }
 
 func TestCompletedIsShownOnlyOnceWritten(t *testing.T) {
@@ -30,7 +30,7 @@
 	w.submit("a", step(1))
 	w.storeDown = true
 	w.run(3 * time.Second)
-	is.Equal(w.shown["a"], job.Running) // The task has ended, the row does not say so.
+	is.Equal(w.shown["a"], job.Running) // The task has ended, but its end is not stored.
 	w.storeDown = false
 	w.run(500 * time.Millisecond)
 	is.Equal(w.shown["a"], job.Completed)
@@ -55,7 +55,7 @@
 			running += len(f.runs)
 		}
 	}
-	is.Equal(running, 2) // Failed looks must not put off the end of the lease.
+	is.Equal(running, 2) // Failed polls must not extend the lease.
 	w.check(t)
 }
 
@@ -70,12 +70,12 @@
 	holders := w.holders()
 	is.Equal(len(holders), 2)
 	w.workers[holders[0]].down = true
-	w.run(time.Second) // The worker is silent now, and its lease has not lapsed.
+	w.run(time.Second) // The worker does not answer, and its lease has not lapsed.
 	for i := 0; i < 20; i++ {
 		w.core.SetClosed([]string{holders[1]}, w.now)
 		w.run(100 * time.Millisecond)
 	}
-	is.Equal(len(w.workers[holders[1]].runs), 1) // Stopping it would leave none at work.
+	is.Equal(len(w.workers[holders[1]].runs), 1) // Stopping this run would leave no task available.
 	w.check(t)
 }
 
@@ -89,7 +89,7 @@
 	w.run(200 * time.Millisecond)
 	w.submit("a", poison)
 	w.run(1100 * time.Millisecond)
-	w.takeOver() // The end may be written and not yet acknowledged.
+	w.takeOver() // The end may be stored but not yet acknowledged.
 	w.run(300 * time.Millisecond)
 	is.True(w.shown["a"] != job.Failed)
 	w.run(10 * time.Second)
@@ -111,7 +111,7 @@
 	w.submit("a", poison)
 	w.run(1500 * time.Millisecond)
 	is.Equal(w.shown["a"], job.Running)
-	w.takeOver() // What each member has failed is added up across owners.
+	w.takeOver() // Failures of the members are added up across owners.
 	w.run(20 * time.Second)
 	is.Equal(w.shown["a"], job.Failed)
 	ends := 0
@@ -150,16 +150,16 @@
 	}
 	w.takeOver()
 	w.run(10 * time.Second)
-	w.check(t) // The oracle reports a second run beside the one on the cut worker.
+	w.check(t) // The oracle reports a second run beside the one on the partitioned worker.
 }
 
-// TestShardUnderFaults lets random faults meet random jobs; the oracle in
-// world_test.go knows only the published rules.
+// TestShardUnderFaults runs random jobs under random faults. The oracle of the simulated world
+// knows only the published rules.
 func TestShardUnderFaults(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) { underFaults(t, newWorld(4)) })
 }
 
-// underFaults lets random faults meet random jobs in a world of four workers.
+// underFaults runs random jobs under random faults in a world of four workers.
 func underFaults(t *rapid.T, w *world) {
 	w.run(200 * time.Millisecond)
 	names := []string{"w0", "w1", "w2", "w3"}
@@ -205,7 +205,7 @@
 				w.handIn(id, s, step(2, 0))
 			}
 			if rapid.Bool().Draw(t, "at an entry") && !w.stood[id] {
-				// Its caller asked for it again before the owner had written it.
+				// Its caller submits it again before the owner has stored it.
 				w.submit(id, s, step(2, 0))
 			}
 		}
@@ -222,7 +222,7 @@
 		t.Errorf("job %s has not ended: %s", id, w.shown[id])
 	}
 	if left := len(w.standbyRecords) + len(w.standbyEnded); left > 0 {
-		t.Errorf("%d rows are left in the standby part", left)
+		t.Errorf("%d rows are left in the standby partition", left)
 	}
 	w.check(t)
 }
@@ -236,7 +236,7 @@
 	w.list()
 	w.submit("a", step(6))
 	w.run(500 * time.Millisecond)
-	// A successor may have read the list before the worker came.
+	// A next owner may have read the list of workers before this one registered.
 	is.Equal(len(w.workers["late"].runs), 0)
 	w.frozen = false
 	w.run(500 * time.Millisecond)
@@ -244,8 +244,8 @@
 	w.check(t)
 }
 
-// TestNewOwnerNeedNotWaitForLapsedWorker lets the owner before find out that a
-// worker is gone, and hand that over.
+// TestNewOwnerNeedNotWaitForLapsedWorker lets the previous owner hand over that the lease of a
+// worker has lapsed.
 func TestNewOwnerNeedNotWaitForLapsedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -256,7 +256,7 @@
 	w.submit("a", step(4), step(2, 0))
 	w.run(500 * time.Millisecond)
 	lapsed := w.core.HandOver(w.now, false, testRowBytes)
-	w.workers["w0"].down = false // It is listed again, and still out of reach.
+	w.workers["w0"].down = false // The worker is listed again but still unreachable.
 	w.workers["w0"].cut = true
 	w.takeOverWith(lapsed)
 	w.run(3 * time.Second)
@@ -264,8 +264,8 @@
 	w.check(t)
 }
 
-// TestRegainedWorkerIsUsedOnlyOnceItIsNoLongerNamed covers an owner that starts
-// a task on a worker that its last row names as one that runs nothing.
+// TestRegainedWorkerIsUsedOnlyOnceItIsNotInHandover guards against starting a task on a worker
+// that the last stored handover lists as idle.
 func TestRegainedWorkerIsUsedOnlyOnceItIsNoLongerNamed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -284,8 +284,8 @@
 	w.check(t)
 }
 
-// TestNewOwnerCountsStopsOfTheOneBefore covers an owner that dies right after it
-// has sent a lasting task away: its successor still finds the run.
+// TestNewOwnerCountsStopsOfPreviousOwner covers an owner that dies right after it has evicted a
+// long-running task. The next owner still finds the run and must count its stop.
 func TestNewOwnerCountsStopsOfTheOneBefore(t *testing.T) {
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
@@ -294,7 +294,7 @@
 	for id, f := range w.workers {
 		if len(f.runs) == 4 {
 			w.core.SetClosed([]string{id}, w.now)
-			w.run(2 * tick) // One stop has arrived.
+			w.run(2 * tick) // One stop has reached its worker.
 			w.takeOver()
 			for i := 0; i < 30; i++ {
 				w.core.SetClosed([]string{id}, w.now)
@@ -318,11 +318,11 @@
 	w.list()
 	w.takeOver()
 	w.run(3 * time.Second)
-	w.check(t) // Without a look at it, its tasks would run a second time.
+	w.check(t) // If the new owner does not poll w0, its tasks run a second time.
 }
 
-// TestWorkerWithoutRegistrationTakesNothingNew covers a worker that leaves
-// without a word: its registration goes, and it serves on for a while.
+// TestWorkerWithoutRegistrationTakesNothingNew covers a worker that leaves without notice: its
+// registration disappears, but it keeps answering for a while.
 func TestWorkerWithoutRegistrationTakesNothingNew(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -332,7 +332,7 @@
 	w.submit("a", step(1))
 	w.run(time.Second)
 	is.Equal(w.shown["a"], job.Queued)
-	// The same after an outage of the store says nothing about the worker.
+	// After an outage of the store a missing registration says nothing about the worker.
 	w.regained = w.now
 	w.list()
 	w.run(3 * time.Second)
@@ -340,8 +340,8 @@
 	w.check(t)
 }
 
-// TestNewOwnerNeedNotWaitForEndedWorker covers a worker whose instance was moved
-// a moment ago and whose registration still stands.
+// TestNewOwnerNeedNotWaitForEndedWorker covers a worker whose instance was moved recently and
+// whose registration is still stored.
 func TestNewOwnerNeedNotWaitForEndedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -349,7 +349,7 @@
 	w.core.End([]string{"w0"}, w.now)
 	w.submit("a", step(4), step(2, 0))
 	w.run(200 * time.Millisecond)
-	is.True(!w.used["w0"]) // Its row goes with the next transaction.
+	is.True(!w.used["w0"]) // The next transaction removes its row.
 	w.workers["w0"].cut = true
 	w.takeOver()
 	w.run(3 * time.Second)
@@ -357,8 +357,8 @@
 	w.check(t)
 }
 
-// TestTakenInstanceIsKnownBeforeItsWorkerIsListed covers a successor that is told
-// of a taken instance while the registration of its worker still stands.
+// TestTakenInstanceIsKnownBeforeItsWorkerIsListed covers a next owner that is told that an
+// instance was taken down before it first reads the registration of the worker.
 func TestTakenInstanceIsKnownBeforeItsWorkerIsListed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
@@ -376,8 +376,8 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// TestLastingTasksAreSentAwayOnlyToRoomOfTheirOwn covers two closed workers whose
-// tasks may both be away, and a single other worker that can take one of them.
+// TestEachEvictedTaskNeedsCapacityOfItsOwn covers two closed workers whose long-running tasks may
+// both be unavailable, and a single other worker that has capacity for only one of them.
 func TestLastingTasksAreSentAwayOnlyToRoomOfTheirOwn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
@@ -396,12 +396,12 @@
 	for _, f := range w.workers {
 		running += len(f.runs)
 	}
-	is.Equal(running, 3) // None waits without a worker that takes it.
+	is.Equal(running, 3) // No task is evicted without a worker that can run it.
 	w.check(t)
 }
 
-// TestStuckLastingTaskGoesToClosedWorker covers a lasting task whose worker has
-// ended while the only other one with room is closed, and not empty.
+// TestStuckLongRunningTaskStartsOnClosedWorker covers a long-running task whose worker has ended
+// while the only other worker with capacity is closed and not empty.
 func TestStuckLastingTaskGoesToClosedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -430,7 +430,7 @@
 	w.check(t)
 }
 
-// otherOf returns the other of two workers.
+// otherOf returns the ID of the other of two workers.
 func otherOf(w *world, id string) string {
 	for other := range w.workers {
 		if other != id {
--- a/shard/standby_test.go
+++ b/shard/standby_test.go
@@ -9,9 +9,9 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// TestJobIsTakenAndEndsWhileOnlyTheStandbyPartIsUp covers an outage of the part of a
-// service: jobs are taken, started and shown as ended, and nothing of that is
-// done twice once the part is back.
+// TestJobRunsWhileOnlyStandbyPartitionIsUp covers an outage of the own partition of a service:
+// jobs are accepted, started and published as ended, and none of that happens twice once the
+// partition is back.
 func TestJobIsTakenAndEndsWhileOnlyTheStandbyPartIsUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -26,7 +26,7 @@
 	w.run(2 * time.Second)
 	is.Equal(w.shown["before"], job.Completed)
 	is.Equal(w.shown["meanwhile"], job.Completed)
-	is.Equal(len(w.noted), 0) // Ends are acknowledged only once the service's own part holds them.
+	is.Equal(len(w.noted), 0) // Ends are acknowledged only once they are stored in the own partition.
 	w.storeDown = false
 	w.run(2 * time.Second)
 	is.Equal(len(w.noted), 2)
@@ -35,9 +35,9 @@
 	w.check(t)
 }
 
-// TestSuccessorTakesOverWhatStandsInTheStandbyPart lets the owner die with a job that
-// has ended and one that runs, of which only the standby part knows, and with their
-// workers: no list of theirs tells of the ends.
+// TestNextOwnerRestoresStandbyPartition lets the owner die together with all workers. An ended
+// job and a running one are stored only in the standby partition, and no worker is left to list
+// their ends.
 func TestSuccessorTakesOverWhatStandsInTheStandbyPart(t *testing.T) {
 	for name, unread := range map[string]time.Duration{
 		"read at once":                0,
@@ -63,7 +63,7 @@
 			w.storeDown = false
 			w.standbyAway = unread > 0
 			w.takeOver()
-			// A caller sends a job again of which this owner can't know that it ended.
+			// A caller submits a job again. This owner can't know yet that the job has ended.
 			w.handIn("ended", step(1))
 			w.run(unread + 10*time.Millisecond)
 			w.standbyAway = false
@@ -71,18 +71,18 @@
 			is.Equal(w.shown["old"], job.Completed)
 			is.Equal(w.shown["ended"], job.Completed)
 			is.Equal(w.shown["open"], job.Completed)
-			w.check(t) // The oracle reports a start after a job was shown as completed.
+			w.check(t) // The oracle reports a start after a job was published as completed.
 		})
 	}
 }
 
-// TestWithdrawalStandsWhileOnlyTheStandbyPartIsUp lets a caller withdraw a job during
-// such an outage, and the owner die.
+// TestCancellationIsStoredWhileOnlyStandbyPartitionIsUp cancels a job during an outage of the own
+// partition, after which the owner dies.
 func TestWithdrawalStandsWhileOnlyTheStandbyPartIsUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("a", step(1, 0)) // It waits for itself, so that it never starts.
+	w.handIn("a", step(1, 0)) // The step depends on itself, so that it never starts.
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.standbyOn = true
@@ -98,15 +98,15 @@
 	w.check(t)
 }
 
-// TestSuccessorKnowsEndsOfJobsThatOnlyTheStandbyPartHolds lets the part of the service
-// return before a job has ended that was taken meanwhile: its progress stands there,
-// and its record in the standby part. The worker then forgets what was acknowledged.
+// TestNextOwnerKnowsEndsOfStandbyJobs lets the own partition return before a job ends that was
+// accepted during the outage. The progress of the job is stored in the own partition and its
+// record in the standby partition. The worker forgets the ends that were acknowledged.
 func TestSuccessorKnowsEndsOfJobsThatOnlyTheStandbyPartHolds(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.handIn("other", step(1))
-	w.run(tick) // Its record is under way, and that of the next job is not.
+	w.run(tick) // The write of its record is in flight; that of the next job has not begun.
 	w.storeDown = true
 	w.standbyOn = true
 	w.handIn("a", step(2), step(2, 0))
@@ -119,11 +119,11 @@
 	w.takeOver()
 	w.run(5 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
-	w.check(t) // The oracle reports a start after an end was noted.
+	w.check(t) // The oracle reports a start after an acknowledged end.
 }
 
-// TestRunsOfJobsInTheStandbyPartGoOn lets the owner die while a job runs that only the
-// standby part holds, and that part not be read for a while.
+// TestRunsOfStandbyJobsContinue lets the owner die while a job runs that is stored only in the
+// standby partition, which then cannot be read for a while.
 func TestRunsOfJobsInTheStandbyPartGoOn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -141,7 +141,7 @@
 	runs := 0
 	for _, f := range w.workers {
 		for _, r := range f.runs {
-			is.True(r.number < 1<<20) // The runs of the first owner.
+			is.True(r.number < 1<<20) // The first owner started this run.
 			runs++
 		}
 	}
@@ -149,22 +149,22 @@
 	w.check(t)
 }
 
-// TestJobOfTheStandbyPartThatIsSentAgainRunsOnce covers a caller who sends a job again
-// seconds after it was taken, to a successor that has not read the standby part yet, where
-// alone the job stands: what has ended of it before is not done once more.
+// TestStandbyJobSubmittedAgainRunsOnce covers a job that is stored only in the standby partition
+// and that its caller submits again, seconds after it was accepted, to a next owner that has not
+// read that partition yet. Tasks that have ended must not run again.
 func TestJobOfTheStandbyPartThatIsSentAgainRunsOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.handIn("other", step(1))
-	w.run(tick) // Its record is under way, and that of the next job is not.
+	w.run(tick) // The write of its record is in flight; that of the next job has not begun.
 	w.storeDown = true
 	w.standbyOn = true
 	w.handIn("again", step(2), step(1, 0))
 	w.run(1300 * time.Millisecond)
 	is.True(w.taken["again"])
 	w.storeDown = false
-	w.run(300 * time.Millisecond) // What has ended stands in a row, and is acknowledged.
+	w.run(300 * time.Millisecond) // The ends are stored and acknowledged.
 	is.True(len(w.noted) > 0)
 	is.Equal(len(w.records), 0)
 	w.standbyAway = true
--- a/shard/unknown_test.go
+++ b/shard/unknown_test.go
@@ -12,15 +12,16 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// tellDeposed lets an entry write the record of a job and tell the owner before, which lives on.
+// acceptAtDeposedOwner stores the record of a job and passes it to the previous owner, which is
+// still running.
 func tellDeposed(w *world, id string, steps ...job.Step) {
 	record := w.record(id, steps...)
 	w.store(record)
 	w.zombies[len(w.zombies)-1].core.Accept(record, w.version, true, w.now)
 }
 
-// deposedWorld returns a world in which a deposed owner lives on for a while, and its successor
-// has looked at no worker yet.
+// newWorldWithDeposedOwner returns a world in which a deposed owner runs on for 2 s and the next
+// owner has not polled any worker yet.
 func deposedWorld() *world {
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
@@ -30,9 +31,9 @@
 	return w
 }
 
-// The caller hands the job in again at the successor, which takes the runs that it finds for
-// those of the job that it is about to write. Its write tells it that the record stands: the
-// tasks were started beside the runs that it had found.
+// TestJobSubmittedAgainToNextOwnerRunsOnce covers a caller that submits its job again to the next
+// owner, which matches the runs that it finds to this submission. When its write reveals that
+// the record is already stored, it must not start the tasks beside the runs that it has found.
 func TestJobHandedInAgainAtSuccessorRunsOnce(t *testing.T) {
 	for name, order := range map[string]struct{ before, after time.Duration }{
 		"before its runs are found": {before: 300 * time.Millisecond, after: 0},
@@ -42,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := deposedWorld()
-			w.lookupsFail = true // The write alone tells of the record.
+			w.lookupsFail = true // Only the write reveals that the record is stored.
 			tellDeposed(w, "a", step(4))
 			w.run(order.before + 100*time.Millisecond)
 			if order.before > 0 {
@@ -61,7 +62,8 @@
 	}
 }
 
-// Nobody tells the successor of the job: it has to look for the record itself.
+// TestNextOwnerLooksUpJobsOfUnknownRuns covers a job that is not announced to the next owner, so
+// that the next owner has to look up its record.
 func TestSuccessorLooksUpJobsOfRunsThatItFinds(t *testing.T) {
 	is := is.New(t)
 	w := deposedWorld()
@@ -73,7 +75,8 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// Runs and ends of a job whose record is gone must not stay for good.
+// TestRunsOfAJobWithoutARecordAreStopped checks that workers do not keep runs and ends of a job
+// whose record was removed.
 func TestRunsOfAJobWithoutARecordAreStopped(t *testing.T) {
 	for name, sight := range map[string]time.Duration{
 		"its runs go on":      100 * time.Millisecond,
@@ -99,8 +102,9 @@
 	}
 }
 
-// An owner that is stopped before it could look up the job of an end must not hand over that
-// nothing runs there: its successor starts the task before it sees the end.
+// TestEndOfAnUnknownJobIsHandedOver covers an owner that stops before it could look up the job of
+// an end. It must not hand the worker over as idle: the next owner would start the task before
+// it reads the end.
 func TestEndOfAnUnknownJobIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	w := deposedWorld()
@@ -122,7 +126,8 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-// A cancellation may arrive before the record that it is for.
+// TestCancelledUnknownJobIsStopped covers a cancellation that arrives before the record of its
+// job.
 func TestUnknownJobThatIsCancelledIsStopped(t *testing.T) {
 	is := is.New(t)
 	w := deposedWorld()
@@ -140,8 +145,8 @@
 	w.check(t)
 }
 
-// Entries tell deposed owners of jobs at any moment, and the successors by a row, by the caller
-// or not at all.
+// TestJobsAcceptedByDeposedOwnersRunOnce lets entries pass jobs to deposed owners at any moment.
+// Next owners learn of these jobs from a stored row, from the caller, or not at all.
 func TestJobsThatDeposedOwnersAreToldOfRunOnce(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(4)
@@ -182,11 +187,11 @@
 		for _, f := range w.workers {
 			f.cut = false
 		}
-		// What no run was found of, the rows tell.
+		// The owner learns of jobs without runs from their stored records.
 		for id, record := range w.records {
 			w.core.Accept(record, w.version, false, w.now)
 			if w.progress[id].State.Final() {
-				t.Errorf("job %s has ended and its record stands", id)
+				t.Errorf("job %s has ended but its record is still stored", id)
 			}
 		}
 		w.run(30 * time.Second)
