--- a/shard/withdrawal_faults_test.go
+++ b/shard/cancellation_faults_test.go
@@ -11,8 +11,8 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-// withdrawals lets random faults meet jobs that are withdrawn at random; the oracle
-// knows only for how long a withdrawn job may run on.
+// simulateCancellations cancels jobs at random times under random faults. The oracle only checks
+// for how long a cancelled job still runs.
 func withdrawals(t *rapid.T, w *world) {
 	w.run(200 * time.Millisecond)
 	names := []string{"w0", "w1", "w2"}
@@ -66,16 +66,16 @@
 	}
 	w.run(20 * time.Second)
 	for _, id := range ids {
-		if _, withdrawn := w.withdrawn[id]; withdrawn && w.running(id) > 0 {
+		if _, cancelled := w.withdrawn[id]; cancelled && w.running(id) > 0 {
 			w.fault("job %s still runs", id)
 		}
 	}
 	for id := range w.cancelRows {
-		w.fault("the row of the cancellation of %s is left", id)
+		w.fault("the cancellation row of %s was not removed", id)
 	}
 }
 
-// settle ends all faults.
+// clearAllFaults ends all faults and runs for 20 s.
 func (w *world) settle() {
 	w.lose = 0
 	w.loseStops = 0
@@ -92,9 +92,9 @@
 	w.run(20 * time.Second)
 }
 
-// withdraw withdraws a job that has been accepted, as an entry would: at the owner, and
-// by a row where there is none, or it does not know the job, or that is drawn. An entry
-// finds a job that has not ended by the rows of both parts.
+// cancelAccepted cancels an accepted job as an entry does. It cancels at the owner, or by a row if
+// byRow is set, there is no owner, or the owner does not know the job. An entry writes such a row
+// only for a job that has not ended by the rows of the store and the standby partition.
 func (w *world) withdraw(id string, byRow bool) {
 	if !byRow && !w.ownerless && w.cancel(id) {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// handInOrNot hands a job in where there is an owner.
+// submitIfOwned submits a job if there is an owner.
 func (w *world) handInOrNot(id string, s job.Step) {
 	if !w.ownerless {
 		w.handIn(id, s)
@@ -121,8 +121,9 @@
 	})
 }
 
-// TestWaitingCancellationsCarryWithdrawals takes away what an owner reads of
-// cancellations before it knows their jobs.
+// TestWaitingCancellationsCarryWithdrawals checks that cancelled jobs end although the owner reads
+// their cancellation rows before their records. With the guard off, the owner does not see the
+// cancellation rows of jobs that it does not know yet, and such jobs keep running.
 func TestWaitingCancellationsCarryWithdrawals(t *testing.T) {
 	prove.Guard(t, prove.NotRun, "cancellation-waits-for-its-job", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
@@ -147,8 +148,8 @@
 	})
 }
 
-// TestLooksCarryWithdrawals takes away from the owner what its looks show of runs that
-// began late.
+// TestLooksCarryWithdrawals checks that polls find the runs of delayed starts, so that those of
+// cancelled jobs are stopped. With the guard off, polls do not list these runs, and they go on.
 func TestLooksCarryWithdrawals(t *testing.T) {
 	prove.Guard(t, prove.NotRun, "looks-find-late-starts", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
--- a/shard/withdrawal_test.go
+++ b/shard/cancellation_test.go
@@ -11,7 +11,7 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// running returns how many runs of a job are at workers.
+// running returns the number of runs of a job on all workers.
 func (w *world) running(id string) int {
 	count := 0
 	for _, f := range w.workers {
@@ -24,13 +24,12 @@
 	return count
 }
 
-// TestWithdrawnJobThatOnlyTheStandbyPartHolds covers a cancellation that stands as a
-// row while the job's record stands in the standby part, which the owner reads later
-// than the row.
+// TestStandbyJobIsCancelledByRow covers a cancellation that is stored as a row while the job's
+// record is in the standby partition. The owner reads that partition later than the row.
 func TestWithdrawnJobThatOnlyTheStandbyPartHolds(t *testing.T) {
 	for name, before := range map[string]bool{
-		"withdrawn before the takeover":                    true,
-		"withdrawn after it, and before the part was read": false,
+		"cancelled before the takeover":                         true,
+		"cancelled after it, and before the partition was read": false,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -53,20 +52,19 @@
 			if !before {
 				w.cancelByRow("a")
 			}
-			w.run(1500 * time.Millisecond) // The owner has found the row by now.
+			w.run(1500 * time.Millisecond) // The owner has read the row by now.
 			w.standbyAway = false
 			w.run(5 * time.Second)
 			is.Equal(w.running("a"), 0)
 			is.Equal(w.shown["a"], job.Cancelled)
-			is.Equal(len(w.cancelRows), 0) // The row goes with the final state.
+			is.Equal(len(w.cancelRows), 0) // The row is removed with the final state.
 			w.check(t)
 		})
 	}
 }
 
-// TestWithdrawalThatIsReadBeforeItsJob covers an owner that has lost the history of the
-// rows and reads them all: they come in the order of their keys, and those of
-// cancellations stand before many jobs.
+// TestCancellationReadBeforeItsJob covers an owner that has lost the history of the rows and reads
+// all of them. Rows are read in the order of their keys, and cancellations sort before many jobs.
 func TestWithdrawalThatIsReadBeforeItsJob(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -84,8 +82,8 @@
 	w.check(t)
 }
 
-// TestWithdrawalThatIsReadBeforeItsJobIsHandedIn covers the same where a caller sends
-// the job once more at the owner, which has not read its record.
+// TestCancellationReadBeforeItsJobIsSubmitted covers the same with a caller that submits the job
+// again to the owner, which has not read its record.
 func TestWithdrawalThatIsReadBeforeItsJobIsHandedIn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
@@ -101,9 +99,9 @@
 	w.check(t)
 }
 
-// TestRepeatedStartThatIsRefusedMayYetHaveBegun covers a start without an answer whose
-// repetition is refused after the job was withdrawn: the first may be carried out yet,
-// unless the worker was told to stop it.
+// TestRefusedRetryDoesNotRuleOutFirstStart covers an unanswered start whose retry is refused after
+// the job was cancelled. The first start may still take effect, unless the worker is told to stop
+// the run.
 func TestRepeatedStartThatIsRefusedMayYetHaveBegun(t *testing.T) {
 	for name, answer := range map[string]error{
 		"no room": &outside.WorkerRefusedError{
@@ -124,18 +122,17 @@
 			w.submit("a", lasting(1, 1))
 			w.run(600 * time.Millisecond)
 			w.refuseStarts = answer
-			w.run(120 * time.Millisecond) // The first has got no answer, the next is under way.
+			w.run(120 * time.Millisecond) // The first start was not answered; its retry is in flight.
 			is.True(w.cancel("a"))
 			w.run(10 * time.Second)
-			is.Equal(w.workers["w0"].began, 0) // A run that was stopped does not begin.
+			is.Equal(w.workers["w0"].began, 0) // A stopped run does not start.
 			w.check(t)
 		})
 	}
 }
 
-// TestListedRunIsKeptWhateverItsRepeatedStartMeets covers a start without an answer that
-// is carried out while its repetition is under way: a look shows the run, and then the
-// repetition gets no answer either, or is refused.
+// TestListedRunIsKeptWhenItsRetriedStartFails covers an unanswered start that takes effect while
+// its retry is in flight. A poll lists the run, and then the retry gets no answer or is refused.
 func TestListedRunIsKeptWhateverItsRepeatedStartMeets(t *testing.T) {
 	for name, answer := range map[string]error{
 		"no answer": errSilent,
@@ -155,13 +152,12 @@
 			w.run(5 * time.Second)
 			is.Equal(w.running("a"), 2)
 			is.Equal(w.workers["w0"].began, 2)
-			w.check(t) // The oracle reports stops while too many others are away.
+			w.check(t) // The oracle reports stops while too many others are unavailable.
 		})
 	}
 }
 
-// TestStopIsGivenAgainWhileItsRunIsListed covers a worker that answers a stop and does
-// nothing.
+// TestStopIsRetriedWhileItsRunIsListed covers a worker that confirms a stop without executing it.
 func TestStopIsGivenAgainWhileItsRunIsListed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -175,9 +171,8 @@
 	w.check(t)
 }
 
-// TestWorkerThatWasSilentAndUnlistedIsLookedAtAgain covers a worker that was cut off
-// until its registration was gone and its lease had lapsed, and then comes back with
-// both: it is the same life.
+// TestSilentUnlistedWorkerIsPolledAgain covers a worker that is partitioned until its registration
+// is removed and its lease has expired, and then returns as the same incarnation.
 func TestWorkerThatWasSilentAndUnlistedIsLookedAtAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -187,7 +182,7 @@
 	f.unlisted = true
 	w.list()
 	w.run(testLease + 4*time.Second)
-	is.True(!w.used["w0"]) // The owner takes it for ended.
+	is.True(!w.used["w0"]) // The owner assumes that the worker has ended.
 	f.cut = false
 	f.unlisted = false
 	w.list()
@@ -199,13 +194,12 @@
 	w.check(t)
 }
 
-// TestWithdrawnJobEndsWhoeverStartedIt covers an owner that is removed for good with
-// starts on their way, and a job that is withdrawn before, while or after another takes
-// over, at the owner or by a row.
+// TestCancelledJobEndsAfterOwnerChange covers an owner that is removed with starts in flight. The
+// job is cancelled before the removal, without an owner (by a row), or after the takeover.
 func TestWithdrawnJobEndsWhoeverStartedIt(t *testing.T) {
 	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 12 * time.Second} {
 		for _, when := range []string{"before", "without an owner", "after"} {
-			t.Run(fmt.Sprintf("starts %v late, withdrawn %s", late, when), func(t *testing.T) {
+			t.Run(fmt.Sprintf("starts %v late, cancelled %s", late, when), func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(3)
 				w.run(200 * time.Millisecond)
@@ -236,8 +230,8 @@
 	}
 }
 
-// TestLateStartIsFoundWhereverItsWorkerStands covers a start that is carried out after
-// the owner gave it up, at a worker that has been unlisted, closed or lapsed.
+// TestLateStartIsFoundInEveryWorkerState covers a start that takes effect after it timed out at
+// the owner, on a worker that is idle, unlisted, draining or closed.
 func TestLateStartIsFoundWhereverItsWorkerStands(t *testing.T) {
 	faults := map[string]func(w *world, f *fakeWorker){
 		"idle": func(*world, *fakeWorker) {},
@@ -261,7 +255,7 @@
 			f := w.workers["w0"]
 			w.lose = 3 * time.Second
 			w.loseEach = 1
-			w.loseStops = 12 * time.Second // What would bar the run comes later still.
+			w.loseStops = 12 * time.Second // The stops that would prevent the run arrive even later.
 			w.submit("a", lasting(1, 1))
 			w.run(20 * time.Millisecond)
 			is.True(w.cancel("a"))
@@ -278,14 +272,14 @@
 	}
 }
 
-// TestRunsOfWithdrawnJobTakeRoomUntilTheyEnd covers an owner that is removed with stops
-// on their way, after the job's record has gone with its final state: its successor
-// finds the runs and knows nothing of what room they take.
+// TestRunsOfCancelledJobUseCapacityUntilTheyEnd covers an owner that is removed with stops in
+// flight, after the job's record was removed with its final state. The next owner finds the runs
+// and does not know their resources.
 func TestRunsOfWithdrawnJobTakeRoomUntilTheyEnd(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
-	w.submit("a", lasting(4, 1)) // All the room of the worker.
+	w.submit("a", lasting(4, 1)) // The whole capacity of the worker.
 	w.run(time.Second)
 	is.Equal(w.running("a"), 4)
 	w.loseEach = 1
@@ -299,11 +293,11 @@
 	w.submit("b", step(4))
 	w.run(5 * time.Second)
 	is.Equal(w.shown["b"], job.Completed)
-	w.check(t) // The oracle reports a worker that is put over its capacity.
+	w.check(t) // The oracle reports a worker whose capacity is exceeded.
 }
 
-// TestStopIsNotRepeatedWithoutPause covers a worker that answers looks and turns every stop
-// away for a while. The stop was given again with each answer, every 1.5 ms:
+// TestStopIsRetriedWithBackoff covers a worker that answers polls but refuses every stop for a
+// while. The owner ordered the stop again after each refusal, every 1.5 ms:
 //
 //	54.29349 stop ordered run=7 worker=m-0-5 reason="job failed"
 //	54.29530 stop ordered run=7 worker=m-0-5 reason="job failed"
@@ -319,7 +313,7 @@
 	w.run(2 * time.Second)
 	t.Logf("stops=%d", w.stops)
 	is.True(w.stops > 1)
-	is.True(w.stops <= 12) // A pause of 60 ms that grows to 400 ms lets 8 through.
+	is.True(w.stops <= 12) // A backoff that grows from 60 ms to 400 ms allows 8 stops.
 	w.workers["w0"].unhealthy = false
 	w.run(time.Second)
 	is.Equal(len(w.workers["w0"].runs), 0)
--- a/shard/withdrawal_world_test.go
+++ b/shard/cancellation_world_test.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// cancel withdraws a job at its owner; the caller is answered once that is written.
+// cancel cancels a job at its owner and reports whether the owner knows the job. The cancellation
+// is confirmed once it is written.
 func (w *world) cancel(id string) bool {
 	return w.core.Cancel(id, w.now, func() { w.acknowledgeCancel(id) })
 }
 
-// cancelByRow withdraws a job as an entry does that could not ask the owner: the row
-// stands, and the owner finds it later.
+// cancelByRow cancels a job as an entry does that can't reach the owner: it writes a row, which
+// the owner reads later.
 func (w *world) cancelByRow(id string) {
 	w.cancelRows[id] = true
 	w.acknowledgeCancel(id)
@@ -22,23 +23,25 @@
 	})
 }
 
-// readCancelRow lets the owner read the row of a cancellation; a forgetful one passes
-// over that of a job that it does not know.
+// readCancelRow makes the owner read the row of a cancellation. With skipUnknownCancels, the row
+// of a job that the owner does not know is skipped.
 func (w *world) readCancelRow(id string) {
 	if _, known := w.core.Known(id); known || !w.forgetful {
 		w.core.CancelByRow(id, w.now)
 	}
 }
 
+// confirmCancel records when a cancellation was first confirmed to a caller.
 func (w *world) acknowledgeCancel(id string) {
 	if _, found := w.withdrawn[id]; !found {
 		w.withdrawn[id] = w.now
 	}
 }
 
-// judgeWithdrawn notes a run of a withdrawn job that goes on for longer than the
-// platform's rule allows. What keeps an owner from its work puts that off, a late order
-// does not: its run counts from its own start.
+// checkCancelled reports a violation if a run of a cancelled job continues for longer than the
+// platform's rule allows. The time counts from the last fault that hindered the owner or the
+// partition of the worker, if that is later. For a run of a delayed start, it also counts from
+// the start of the run.
 func (w *world) judgeWithdrawn() {
 	if w.storeDown || w.standbyAway || w.ownerless || w.frozen || len(w.zombies) > 0 {
 		w.disturbed = w.now
@@ -48,20 +51,20 @@
 			f.disturbed = w.now
 		}
 		for id, r := range f.runs {
-			at, withdrawn := w.withdrawn[id.Job]
-			if f.down || !withdrawn {
+			at, cancelled := w.withdrawn[id.Job]
+			if f.down || !cancelled {
 				continue
 			}
 			since := latest(at.Add(cancelBound), r.began.Add(contactBound), w.disturbed.Add(cancelBound), f.disturbed.Add(cancelBound))
 			if w.now.Sub(since) > stopBound {
-				w.fault("run %d of %s goes on on %s, and its job was withdrawn at %v", r.number, id, f.reg.ID, at.Sub(w.start))
+				w.fault("run %d of %s still runs on %s, but its job was cancelled at %v", r.number, id, f.reg.ID, at.Sub(w.start))
 				delete(w.withdrawn, id.Job)
 			}
 		}
 	}
 }
 
-// latest returns the latest of some instants.
+// latest returns the latest of the given times.
 func latest(first time.Time, others ...time.Time) time.Time {
 	for _, other := range others {
 		if other.After(first) {
--- a/shard/world_calls_test.go
+++ b/shard/world_calls_test.go
@@ -16,11 +16,11 @@
 	}
 )
 
-// answerer lets an owner take in an answer after a time.
+// answerFunc makes an owner handle an answer after a time.
 type answerer func(after time.Duration, take func())
 
-// carryOut lets the workers answer an owner one tick later. What one sent that acts no
-// more is answered to nobody.
+// executeOrders executes an owner's orders. Answers arrive one tick later, unless a fault delays
+// them. Answers to an owner that is no longer active are dropped.
 func (w *world) carryOut(core *shard.Shard, orders shard.Orders) {
 	answer := func(d time.Duration, do func()) {
 		w.after(d, func() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// carryOutHold lets a worker answer a look.
+// executePoll makes a worker answer a poll.
 func (w *world) carryOutHold(core *shard.Shard, h shard.Hold, answer answerer) {
 	f := w.workers[h.Worker.ID]
 	w.lastLook[h.Worker.ID] = h.Call
@@ -98,9 +98,9 @@
 		answer(w.lateAnswers, func() { core.Held(w.nameLook(h), sent, w.now, glance, nil) })
 		return
 	}
-	life := f.lives
+	incarnation := f.lives
 	answer(queued+tick, func() {
-		if !w.reaches(core, f) || f.lives != life {
+		if !w.reaches(core, f) || f.lives != incarnation {
 			core.Held(h, sent, w.now, outside.Glance{}, errSilent)
 			return
 		}
@@ -108,7 +108,7 @@
 	})
 }
 
-// carryOutStart lets a worker answer an order to start a task.
+// executeStart makes a worker answer an order to start a task.
 func (w *world) carryOutStart(core *shard.Shard, s shard.Start, answer answerer) {
 	f := w.workers[s.Worker.ID]
 	if w.refuseStarts != nil {
@@ -118,7 +118,8 @@
 	if w.lose > 0 {
 		sent := w.now
 		w.after(w.lose, func() {
-			// What an incarnation begins before any owner has reached it, no owner can help.
+			// A delayed start that reaches an incarnation before any owner does is left out: no
+			// owner can prevent it.
 			if !f.cut && f.fence > 0 {
 				_ = w.startAt(f, s.Order, sent)
 			}
@@ -147,7 +148,7 @@
 	answer(queued+w.startAnswers, func() { core.Started(s, w.now, w.now.Sub(zero), err) })
 }
 
-// carryOutStop lets a worker answer an order to stop a run.
+// executeStop makes a worker answer an order to stop a run.
 func (w *world) carryOutStop(core *shard.Shard, s shard.Stop, answer answerer) {
 	f := w.workers[s.Worker.ID]
 	w.stops++
@@ -159,9 +160,9 @@
 		})
 		return
 	}
-	lost := w.loseStops > 0 && w.stops%w.loseEach == 0
-	if !w.reaches(core, f) || lost {
-		if lost {
+	unanswered := w.loseStops > 0 && w.stops%w.loseEach == 0
+	if !w.reaches(core, f) || unanswered {
+		if unanswered {
 			w.heldUp[uncalled(s)] = true
 			w.after(w.loseStops, func() {
 				if !f.cut {
@@ -177,7 +178,7 @@
 	answer(tick, func() { core.Stopped(s, w.now, w.now.Sub(zero), err) })
 }
 
-// lookUp answers a lookup from the rows, as they stand when it is ordered.
+// lookUp answers a lookup with the rows that are stored at the time of the order.
 func (w *world) lookUp(core *shard.Shard, l shard.Lookup, answer answerer) {
 	if w.storeDown || w.lookupsFail {
 		answer(tick, func() { core.LookedUp(l, errSilent, w.now) })
@@ -185,7 +186,7 @@
 	}
 	var records []shard.Record
 	for _, id := range l.Jobs {
-		if record, stands := w.records[id]; stands {
+		if record, found := w.records[id]; found {
 			records = append(records, record)
 		}
 	}
@@ -198,7 +199,7 @@
 	})
 }
 
-// nameLook returns the look that an answer is given for.
+// answeredPoll returns the poll that an answer belongs to. With mismatchPolls, it is the last one.
 func (w *world) nameLook(h shard.Hold) shard.Hold {
 	if w.unnamed {
 		h.Call = w.lastLook[h.Worker.ID]
@@ -206,7 +207,7 @@
 	return h
 }
 
-// holdAt is what a worker does with a look.
+// pollAt executes a poll at a worker, which ignores one with an outdated fencing token.
 func (w *world) holdAt(f *fakeWorker, r outside.Renewal) {
 	if r.Fence < f.fence {
 		return
@@ -215,8 +216,8 @@
 	w.acknowledge(f, r.Acknowledged)
 }
 
-// stopAt is what a worker does with a stop: nothing for one of an owner before, once it has
-// heard of a newer one. The rule on how many may be away leaves out orders that were held up.
+// stopAt executes a stop at a worker. The worker refuses a stop of a previous owner once it knows
+// a newer one. Stops that were delayed are exempt from the rule on unavailable tasks.
 func (w *world) stopAt(f *fakeWorker, s shard.Stop) error {
 	if f.down {
 		return errSilent
@@ -243,14 +244,14 @@
 	return nil
 }
 
-// uncalled returns what a stop asks for, which its repetitions ask for as well.
+// withoutCall returns a stop without what tells it from its retries.
 func uncalled(s shard.Stop) shard.Stop {
 	s.Call = 0
 	s.Fence = 0
 	return s
 }
 
-// acknowledge lets a worker forget ends, and the oracle note them.
+// acknowledge removes acknowledged ends at a worker and records them for the oracle.
 func (w *world) acknowledge(f *fakeWorker, last int64) {
 	for len(f.ends) > 0 && f.ends[0].Number <= last {
 		if f.ends[0].Kind == outside.EndDone {
@@ -261,8 +262,8 @@
 	}
 }
 
-// startAt is what a worker does with a start that was sent at the instant, and what
-// the oracle says of it.
+// startAt executes a start that was sent at the given time, and checks it against the rules of
+// the oracle.
 func (w *world) startAt(f *fakeWorker, o outside.StartOrder, sent time.Time) error {
 	refuse := func(reason outside.Refusal) error {
 		return &outside.WorkerRefusedError{
@@ -288,7 +289,7 @@
 	}
 	f.renew(w, o.Fence, o.Until)
 	if w.turned[o.Task.Job] {
-		w.fault("%s starts although its job's last answer was a refusal", o.Task)
+		w.fault("%s starts, but the last answer for its job was a refusal", o.Task)
 	}
 	step := w.stepOf(o.Task)
 	w.judge(f, o.Task, step, sent)
--- a/shard/world_oracle_test.go
+++ b/shard/world_oracle_test.go
@@ -7,14 +7,14 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// tester is what the oracle reports to: a test of testing or of rapid.
+// tester receives the violations; both testing.T and rapid.T implement it.
 type tester interface {
 	Error(args ...any)
 	Helper()
 }
 
-// judgeShown notes a job that is shown as open after callers saw that it had ended.
-// What an owner says before it has read the standby part is told to nobody.
+// checkReported reports a violation if a job's state differs from the final state that callers
+// saw. States are not shown to callers before the owner has read the standby partition.
 func (w *world) judgeShown() {
 	if !w.standbyRead {
 		return
@@ -27,32 +27,32 @@
 	}
 }
 
-// judgeNoted notes an end that is acknowledged after its task was started again. One whose
-// worker's lease has lapsed since does not count.
+// checkAcked reports a violation if an end is acknowledged although its task was started again
+// after the end. If the worker's lease has expired since the end, this is no violation.
 func (w *world) judgeNoted(f *fakeWorker, end outside.End) {
 	at := f.endedAt[end.Number]
 	if again := w.started[end.Task]; again.After(at) && !f.lapsed.After(at) && !w.stepOf(end.Task).Speculative {
-		w.fault("%s ended on %s at %v, which is noted, and was started again at %v", end.Task, f.reg.ID, at.Sub(w.start), again.Sub(w.start))
+		w.fault("end of %s on %s at %v is acknowledged after the task was started again at %v", end.Task, f.reg.ID, at.Sub(w.start), again.Sub(w.start))
 	}
 }
 
-// judge notes what a start breaks. One that a worker carries out late may begin after
-// an end that was noted since it was sent: no owner can take it back, and the
-// platform's rule for the time after a noted end leaves such orders out.
+// checkStart reports every rule that a start violates. A delayed start may take effect after an
+// end that was acknowledged since the order was sent. No owner can revoke it, and the platform's
+// rule on starts after an acknowledged end exempts such orders.
 func (w *world) judge(f *fakeWorker, id job.TaskID, step job.Step, sent time.Time) {
 	if !w.stood[id.Job] {
-		w.fault("%s starts on %s before its record stands", id, f.reg.ID)
+		w.fault("%s starts on %s before its record is stored", id, f.reg.ID)
 	}
-	if end, told := w.told[id.Job]; told && !sent.Before(end.at) {
-		w.fault("%s starts on %s, and its job was shown as %s", id, f.reg.ID, end.state)
+	if end, reported := w.told[id.Job]; reported && !sent.Before(end.at) {
+		w.fault("%s starts on %s after its job was shown as %s", id, f.reg.ID, end.state)
 	}
-	if at, noted := w.noted[id]; noted && !sent.Before(at) {
-		w.fault("%s starts on %s, and its end was noted at %v", id, f.reg.ID, at.Sub(w.start))
+	if at, acked := w.noted[id]; acked && !sent.Before(at) {
+		w.fault("%s starts on %s, but its end was acknowledged at %v", id, f.reg.ID, at.Sub(w.start))
 	}
 	w.judgeCrashes(f, id)
 	w.judgeEvacuated(f, id, sent)
 	if at, found := w.withdrawn[id.Job]; found && sent.Sub(latest(at, w.disturbed)) > cancelBound {
-		w.fault("%s starts on %s, and its job was withdrawn at %v", id, f.reg.ID, at.Sub(w.start))
+		w.fault("%s starts on %s, but its job was cancelled at %v", id, f.reg.ID, at.Sub(w.start))
 	}
 	used := step.Charge()
 	same := 1
@@ -63,23 +63,23 @@
 		}
 	}
 	if !f.reg.Capacity.Fits(used) {
-		w.fault("%s puts %s over its capacity", id, f.reg.ID)
+		w.fault("%s exceeds the capacity of %s", id, f.reg.ID)
 	}
 	if step.PerWorker > 0 && same > step.PerWorker {
-		w.fault("%s is one too many of its step on %s", id, f.reg.ID)
+		w.fault("%s exceeds the limit of its step on %s", id, f.reg.ID)
 	}
 	for _, other := range w.workers {
 		if r, found := other.runs[id]; found && !other.down && !step.Speculative && w.now.Before(other.until) {
-			w.fault("%s starts on %s while run %d of it is on %s", id, f.reg.ID, r.number, other.reg.ID)
+			w.fault("%s starts on %s while its run %d is on %s", id, f.reg.ID, r.number, other.reg.ID)
 		}
 	}
 }
 
-// atWork says when a run of a lasting step counts as at work.
+// availableAfter is the run time after which a long-running task counts as available.
 const atWork = 500 * time.Millisecond
 
-// judgeStop notes a stop of a lasting task while too many others of its step are
-// away.
+// checkStop reports a violation if a long-running task is stopped while too many others of its
+// step are unavailable.
 func (w *world) judgeStop(f *fakeWorker, id job.TaskID, stopped *fakeRun) {
 	record, known := w.recordOf(id.Job)
 	if state, _ := w.core.Known(id.Job); state.Final() {
@@ -88,19 +88,20 @@
 	if !known || !stopped.step.Lasting || f.reg.Draining || w.now.Sub(stopped.began) < atWork || !stopped.stopAt.IsZero() {
 		return
 	}
-	away := record.Spec.Steps[id.Step].Count - 1
+	unavailable := record.Spec.Steps[id.Step].Count - 1
 	for _, other := range w.workers {
 		for task, r := range other.runs {
 			if !other.down && task.StepName() == id.StepName() && task != id && r.stopAt.IsZero() && w.now.Sub(r.began) >= atWork {
-				away--
+				unavailable--
 			}
 		}
 	}
-	if away >= max(1, stopped.step.MayMiss) {
-		w.fault("%s is stopped on %s while %d others of its step are away", id, f.reg.ID, away)
+	if unavailable >= max(1, stopped.step.MayMiss) {
+		w.fault("%s is stopped on %s while %d others of its step are unavailable", id, f.reg.ID, unavailable)
 	}
 }
 
+// check fails the test if there are violations.
 func (w *world) check(t tester) {
 	t.Helper()
 	for _, fault := range w.faults {
--- a/shard/world_owner_test.go
+++ b/shard/world_owner_test.go
@@ -10,17 +10,17 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// zombie is an owner before that acts on without having noticed that it is succeeded.
+// zombie is a previous owner that is still active and has not noticed its successor.
 type zombie struct {
 	core  *shard.Shard
 	until time.Time
 
-	// beside is the one worker that it reaches, cut or not; nil stands for all that are
-	// not cut.
+	// reachable is the only worker that the zombie reaches, partitioned or not; nil means
+	// all workers that are not partitioned.
 	beside *fakeWorker
 }
 
-// actOn lets owners before go on.
+// runZombies executes the orders of previous owners that are still active.
 func (w *world) actOn() {
 	w.zombies = slices.DeleteFunc(w.zombies, func(z zombie) bool {
 		return w.now.After(z.until) || z.core.Deposed()
@@ -31,7 +31,7 @@
 	}
 }
 
-// acts reports whether an owner is the newest one or one before that acts on.
+// isActive reports whether an owner is the current one or a zombie.
 func (w *world) acts(core *shard.Shard) bool {
 	if core == w.core {
 		return !w.ownerless
@@ -39,7 +39,7 @@
 	return slices.ContainsFunc(w.zombies, func(z zombie) bool { return z.core == core })
 }
 
-// reaches reports whether calls of an owner get through to a worker.
+// reaches reports whether an owner's calls reach a worker.
 func (w *world) reaches(core *shard.Shard, f *fakeWorker) bool {
 	if f.down {
 		return false
@@ -52,42 +52,41 @@
 	return !f.cut
 }
 
-// takeOver starts a new owner from the rows, as after the death of the one
-// before. Those before that one may still act on.
+// takeOver starts a new owner from the stored rows, as after a crash of the previous owner.
+// Zombies may still be active.
 func (w *world) takeOver() {
 	w.takeOverAfter(0)
 }
 
-// takeOverWith starts a new owner that inherits what the one before knew of its
-// workers.
+// takeOverWith starts a new owner that receives the given handover of the previous one.
 func (w *world) takeOverWith(handover shard.Handover) {
 	w.handover = handover
 	w.takeOver()
 }
 
-// takeOverFromLiving starts a new owner while the one before acts on for a while
-// without the store.
-func (w *world) takeOverFromLiving(on time.Duration) {
-	w.takeOverFromBeside(on, nil)
+// takeOverFromActive starts a new owner while the previous one stays active for the given time
+// without access to the store.
+func (w *world) takeOverFromLiving(activeFor time.Duration) {
+	w.takeOverFromBeside(activeFor, nil)
 }
 
-// takeOverFromBeside is takeOverFromLiving of an owner that is cut off from all but one
-// worker, which is cut off from the others.
-func (w *world) takeOverFromBeside(on time.Duration, f *fakeWorker) {
+// takeOverFromPartitioned is takeOverFromActive with a network partition: the previous owner
+// reaches only the worker f, and other owners don't reach f. Without f, there is no partition.
+func (w *world) takeOverFromBeside(activeFor time.Duration, f *fakeWorker) {
 	if f != nil {
 		f.cut = true
 	}
 	w.zombies = append(w.zombies, zombie{
 		core:   w.core,
-		until:  w.now.Add(on),
+		until:  w.now.Add(activeFor),
 		beside: f,
 	})
-	w.takeOverAfter(on)
+	w.takeOverAfter(activeFor)
 }
 
-// release lets the owner write what it has to, hand over in its last transaction, and
-// end; a successor takes the service after a while. Where nothing can be written, it
-// just ends.
+// release makes the owner write its pending rows, write its handover in the last transaction,
+// and end; the next owner takes over after the given time. If nothing can be written, the owner
+// ends at once.
 func (w *world) release(after time.Duration) {
 	writes := !w.storeDown && !w.frozen
 	if writes {
@@ -102,7 +101,7 @@
 	w.takeOver()
 }
 
-// lastOrders writes every row that is due, and returns what the owner hands over with
+// writeAndHandOver writes every pending row, and returns the handover that the owner writes with
 // the last of them.
 func (w *world) lastOrders() shard.Handover {
 	for {
@@ -117,15 +116,15 @@
 	}
 }
 
-// takeOverAfter starts a new owner; the one before may act on for the given time.
-func (w *world) takeOverAfter(on time.Duration) {
+// takeOverAfter starts a new owner; the previous one may stay active for the given time.
+func (w *world) takeOverAfter(activeFor time.Duration) {
 	w.epoch++
 	w.batch = nil
 	w.ownerless = false
 	w.disturbed = w.now
-	blind := time.Duration(0)
+	unobserved := time.Duration(0)
 	if w.epoch > 1 {
-		blind = testLease + testLease/10 + on
+		unobserved = testLease + testLease/10 + activeFor
 	}
 	epoch := w.epoch
 	w.core = shard.New("s", w.epoch, w.version, w.now, shard.Options{
@@ -135,7 +134,7 @@
 		IdleWait:  200 * time.Millisecond,
 		StopTask:  300 * time.Millisecond,
 		ShownFor:  time.Hour,
-		BlindFor:  blind,
+		BlindFor:  unobserved,
 		Starts:    w.starts,
 		Evacuated: w.isEvacuated,
 		Quota:     w.quotaOf(w.epoch),
@@ -152,13 +151,13 @@
 			}
 		},
 	})
-	// The row of the claim passes on what the last beat said, and for how long the owner
-	// before may matter.
+	// The claim's row passes on the last heartbeat's handover, and how long the previous
+	// owner may still be active.
 	if w.waitless {
 		w.handover.Blind = 0
 	}
 	w.core.Inherit(w.handover, w.now)
-	w.handover.Blind = max(w.handover.Blind, blind)
+	w.handover.Blind = max(w.handover.Blind, unobserved)
 	w.standbyBatch = nil
 	w.standbyRead = w.epoch == 1
 	if !w.standbyRead {
@@ -167,7 +166,7 @@
 	w.restore()
 }
 
-// restore lets a new owner read the rows.
+// restore makes a new owner read the stored rows.
 func (w *world) restore() {
 	for id := range w.used {
 		w.core.InheritWorker(outside.WorkerRef{
--- a/shard/world_rows_test.go
+++ b/shard/world_rows_test.go
@@ -4,8 +4,8 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// writeStandby reads the standby part once, writes there while the store is down,
-// and removes what has become needless once it is back.
+// writeStandby makes the owner read the standby partition once and write to it while the store
+// is down. Once the store is back, it removes redundant rows from the standby partition.
 func (w *world) writeStandby() {
 	if w.standbyAway {
 		return
@@ -17,7 +17,7 @@
 			records = append(records, record)
 		}
 		if err := w.core.ReadStandby(records, w.standbyEnded, w.progress, w.now); err != nil {
-			w.fault("standby part: %v", err)
+			w.fault("restore standby partition: %v", err)
 		}
 	}
 	switch {
@@ -50,7 +50,7 @@
 	w.core.StandbyWritten(b, w.now)
 }
 
-// write applies the batch of 20 ms ago and takes the next.
+// write applies a batch two ticks after it was taken, and takes the next one.
 func (w *world) write() {
 	if w.batch != nil && !w.storeDown && w.now.Sub(w.batchAt) >= 2*tick {
 		w.apply()
@@ -74,7 +74,7 @@
 	}
 }
 
-// apply writes the batch that is under way, or takes it back.
+// applyBatch writes the batch in flight, or undoes it if one of its jobs is stored already.
 func (w *world) apply() {
 	b := *w.batch
 	w.batch = nil
@@ -106,7 +106,7 @@
 	w.core.Written(b, w.now)
 }
 
-// undo takes a batch back of which a record stands already.
+// undo undoes a batch if a job of it has a stored record, and reports whether it did.
 func (w *world) undo(b shard.Batch) bool {
 	var existing []shard.Existing
 	absent := make([]string, 0, len(b.Records))
@@ -117,9 +117,9 @@
 		absent = append(absent, one.ID)
 	}
 	for _, id := range absent {
-		if stands, found := w.records[id]; found {
+		if stored, found := w.records[id]; found {
 			existing = append(existing, shard.Existing{
-				Record:  stands,
+				Record:  stored,
 				Version: w.version,
 			})
 		}
--- a/shard/world_test.go
+++ b/shard/world_test.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// tick is the step of the virtual time.
+	// tick is the increment of virtual time.
 	tick = 10 * time.Millisecond
 
 	testLease = 4 * time.Second
 
-	// testLeaseMost is what workers cut a longer lease to.
+	// testMaxLease is the maximum lease; workers shorten longer ones to it.
 	testLeaseMost = 10 * time.Second
 
-	// testEntries is the room of a batch in these tests; small, so that batches
-	// are cut.
+	// testBatchEntries is the maximum number of entries in a batch. It is small, so that
+	// batches have to be split.
 	testEntries = 12
 
-	// testRowBytes is the room of a handover, for the workers of these tests.
+	// testHandoverBytes is the maximum size of a handover; all workers of a test fit in.
 	testRowBytes = 65_536
 
-	// cancelBound and stopBound are how long after its cancellation a job may have
-	// runs: what the platform's page of rules gives as cancel_ms and stop_ms.
-	// contactBound, its contactMs, is what is added for an order that a worker
-	// carried out late.
+	// maxCancelDelay and maxStopDelay together bound how long a job may have runs after its
+	// cancellation; the platform's rules call them cancel_ms and stop_ms. maxContactDelay,
+	// contactMs in those rules, is the additional time for an order that a worker
+	// executed late.
 	cancelBound  = 3 * time.Second
 	contactBound = 3 * time.Second
 	stopBound    = 400 * time.Millisecond
 
-	// givenUpBound is under how many crashes a task may be given up.
+	// minCrashesToFail is the minimum number of crashes after which a task may be failed.
 	givenUpBound = 2
 
-	// crashBound is how many workers may crash under a task. It is not started after them;
-	// startsAfter is what the platform allows where owners did not see each crash.
+	// maxCrashesPerTask is the number of worker crashes after which a task must not be
+	// started again. maxExtraStarts is how many further starts the platform allows where
+	// owners did not see every crash.
 	crashBound  = 3
 	startsAfter = 2
 
-	// feedPause is how long a row of an entry waits until its owner looks for it.
+	// feedDelay is how long it takes until the owner reads a row that an entry wrote.
 	feedPause = time.Second
 )
 
-// late is a call that takes effect after its answer was given up.
+// delayedCall is a function that runs at a later time, such as an answer or a delayed order.
 type late struct {
 	at time.Time
 	do func()
 }
 
-// toldEnd is a final state that callers were shown, and since when.
+// reportedEnd is a final state that callers were shown, and when they first saw it.
 type toldEnd struct {
 	state job.State
 	at    time.Time
 }
 
-// world holds fake workers, the rows that last, and what the oracle noticed.
+// world simulates a shard in virtual time. It holds the owner, fake workers, the stored rows,
+// and the violations that the oracle found.
 type world struct {
 	now      time.Time
 	start    time.Time
@@ -75,18 +77,18 @@
 	pending  []late
 	faults   []string
 
-	// stood holds every job whose record has stood; taken what those were told
-	// who handed a job in at the owner.
+	// stored holds every job whose record was ever stored. taken holds the owner's answers
+	// to submitted jobs: whether each was accepted.
 	stood map[string]bool
 	taken map[string]bool
 
-	// storeDown keeps batches from being written; lose makes the next starts
-	// get no answer and take effect later by the given time.
+	// storeDown prevents batches from being written. While startDelay is positive, starts
+	// get no answer and take effect after that time.
 	storeDown bool
 
-	// standbyOn lets the owner write to the standby part while the store is down, and
-	// standbyAway keeps that part from being read and written. standbyRead says that
-	// this owner has read it.
+	// standbyOn lets the owner write to the standby partition while the store is down.
+	// standbyDown prevents that partition from being read and written. standbyRead says
+	// that this owner has read it.
 	standbyOn      bool
 	standbyAway    bool
 	standbyRead    bool
@@ -95,158 +97,162 @@
 	standbyBatch   *shard.Standby
 	standbyAt      time.Time
 
-	// told holds the final states that callers were shown.
+	// reported holds the final states that callers were shown.
 	told map[string]toldEnd
 
-	// policy is that of the next job; asks holds every question so far.
+	// policy is that of the next job; ticketRequests holds every ticket request so far.
 	policy catalog.Policy
 	asks   []shard.Ask
 
-	// quota is what the service may use of the limit of the organisation that every job
-	// belongs to; nil where it belongs to none.
+	// quota is the service's share of the limit of the organisation that every job belongs
+	// to; nil if jobs belong to no organisation.
 	quota *worldQuota
 
-	// used holds the rows of workers that may run something; handover is what the
-	// owner's last transaction says of workers.
+	// used holds the rows of workers that may have runs. handover is the handover that the
+	// owner's last transaction wrote.
 	used     map[string]bool
 	handover shard.Handover
 
-	// zombies are owners before that act on, oldest first.
+	// zombies are previous owners that are still active, oldest first.
 	zombies []zombie
 
-	// regained is when the store was last regained.
+	// regained is when the store was last available again after an outage.
 	regained time.Time
 
-	// frozen keeps the owner from proving that it still owns the shard.
+	// frozen prevents the owner from confirming that it still owns the shard.
 	frozen bool
 
 	lose    time.Duration
 	batch   *shard.Batch
 	batchAt time.Time
 
-	// wire is the owner's link; nil for one that delays nothing. starts is the budget of
-	// orders on it.
+	// wire is the owner's link; nil for a link without delay. starts is the budget for
+	// start orders on it.
 	wire   *wire
 	starts *link.Budget
 
-	// refused holds the rows of jobs that were turned away, turned the jobs whose last
-	// answer was that, and heard when they heard it.
+	// refused holds the rows of refused jobs. turned holds the jobs whose last answer was a
+	// refusal, and refusalHeardAt when that answer arrived.
 	refused map[string]shard.Refusal
 	turned  map[string]bool
 	heard   map[string]time.Time
 
-	// started holds when each task was last started by an order that was not late.
+	// started holds when each task was last started by an order that was not delayed.
 	started map[job.TaskID]time.Time
 
-	// loseLooks lets looks get no answer and take effect later by the given time;
-	// acknowledging counts the looks that let a worker forget ends.
+	// While pollDelay is positive, polls get no answer and take effect after that time.
+	// ackingPolls counts the polls that acknowledged ends.
 	loseLooks     time.Duration
 	acknowledging int
 
-	// startAnswers is when the answer to a start is taken in.
+	// startAnswerDelay is how long the answer to a start takes to arrive.
 	startAnswers time.Duration
 
-	// lookupsFail lets every lookup fail; lookupsLate is when the answer to one arrives.
+	// lookupsFail makes every lookup fail; lookupDelay is how long its answer takes to arrive.
 	lookupsFail bool
 	lookupsLate time.Duration
 
-	// lookFails is when a look at a silent worker is given up; an owner without
-	// processor time notices late.
+	// pollTimeout is the time after which a poll without an answer fails. A longer one
+	// stands for an owner that lacks CPU time and notices late.
 	lookFails time.Duration
 
-	// lateAnswers is how long the answer to a look is on its way, as it was given.
+	// lateAnswers is how long the answer to a poll takes to arrive. The answer tells the
+	// worker's state at the time of the poll.
 	lateAnswers time.Duration
 
-	// refuseStarts is what starts are answered with after the given time, if anything;
-	// they are not done.
+	// startError, unless nil, is the answer to every start after startErrorDelay; the start
+	// is not executed.
 	refuseStarts error
 	refuseAfter  time.Duration
 
-	// loseStops makes one stop of loseEach get no answer and take effect later by the
-	// given time; stops counts them.
+	// While stopDelay is positive, every unansweredStopEvery-th stop gets no answer and takes
+	// effect after that time. stops counts all stops.
 	loseStops time.Duration
 	loseEach  int
 	stops     int
 
-	// refusedFor counts the seconds in which tasks wait, by reason.
+	// waitReasons counts the seconds in which tasks wait, by reason.
 	refusedFor map[string]int
 
-	// heldUp holds the stops of which an earlier one was lost.
+	// delayedStops holds the stops of which an earlier attempt got no answer.
 	heldUp map[shard.Stop]bool
 
-	// judgeRepeated judges the repetitions of such a stop as well.
+	// checkRetriedStops makes the oracle check the retries of such stops as well.
 	judgeRepeated bool
 
-	// ownerless says that the owner was removed and nobody has taken over yet.
+	// ownerless says that the owner was removed and has no successor yet.
 	ownerless bool
 
-	// cancelRows holds the rows of cancellations that entries wrote; withdrawn since
-	// when a cancellation is acknowledged. disturbed is when something other than a
-	// late order last stood in the owner's way.
+	// cancelRows holds the rows of cancellations that entries wrote. cancelled holds when a
+	// cancellation was confirmed to its caller. disturbed is when a fault other than a
+	// delayed order last hindered the owner.
 	cancelRows map[string]bool
 	withdrawn  map[string]time.Time
 	disturbed  time.Time
 
-	// blindfold takes out of what workers list the runs that began late.
+	// hideLateRuns omits runs of delayed starts from what workers list.
 	blindfold bool
 
-	// waitless takes out of what is handed over for how long owners before the last may
-	// live.
+	// dropHandoverWait omits from handovers how long owners before the previous one may
+	// still be active.
 	waitless bool
 
-	// forgetful keeps from the owner the rows of cancellations of jobs that it does not
+	// skipUnknownCancels hides from the owner the cancellation rows of jobs that it does not
 	// know yet.
 	forgetful bool
 
-	// culprits names the tasks that crash the worker on which they start, and after how
-	// long; crashes counts the workers that crashed under each. backAfter is when another
-	// life answers at the address of a crashed worker; zero stands for never.
+	// culprits holds the tasks that crash their worker, and after what run time. crashes
+	// counts the workers that crashed under each of them. restartDelay is the time after
+	// which a new incarnation or another worker answers at the address of a crashed worker;
+	// zero means never.
 	culprits  map[job.TaskID]time.Duration
 	crashes   map[job.TaskID]int
 	backAfter time.Duration
 
-	// sameID says that a crashed worker starts again under its id.
+	// sameID says that a crashed worker restarts under the same id.
 	sameID bool
 
-	// takenFirst names what a new owner is told to have ended before it sees registrations.
+	// takenBeforeListing names the workers that a new owner learns to have ended before it
+	// receives the registrations.
 	takenFirst []string
 
-	// untold takes out of what workers say which incarnation says it.
+	// hideIncarnations omits the incarnation from what workers register and answer.
 	untold bool
 
-	// full lets workers report every run as fully at work.
+	// reportAllAvailable makes workers report every run as available at once.
 	full bool
 
-	// unnamed lets the answer to any look pass for that to the last one, whose numbers
-	// lastLook holds.
+	// mismatchPolls makes the owner take every answer for that to the last poll of the
+	// worker. lastPoll holds the number of that poll.
 	unnamed  bool
 	lastLook map[string]int64
 
-	// under counts the workers that crashed while a task ran there, whoever did it.
+	// crashesDuring counts the workers that crashed while a task ran there, whatever the cause.
 	under map[job.TaskID]int
 
-	// unmarked and untried take the marks and the trials out of the rows that an owner
-	// reads.
+	// hideCrashes and hidePossibleCrashes omit the recorded crashes and the possible crashes
+	// from the rows that an owner reads.
 	unmarked bool
 	untried  bool
 
-	// presences holds what is known of lasting tasks; holder owns the instances, if anybody
-	// does.
+	// presences tracks the availability of long-running tasks. instanceController owns the
+	// instances; nil if nothing does.
 	presences map[job.TaskID]*presence
 	holder    *holder
 
-	// giving names the workers whose instances are announced to be ordered, givingUnread says
-	// that a new owner can't read which.
+	// released names the workers whose instances the instance controller has announced to
+	// order away. releasedUnread says that a new owner can't read these names.
 	giving       []string
 	givingUnread bool
 
-	// evacuations is what the operator has evacuated.
+	// evacuations holds what the operator has evacuated.
 	evacuations evacuations
 
-	// report receives the lines that owners log; nil drops them.
+	// logEvent receives the lines that owners log; nil drops them.
 	report func(event string, fields ...any)
 
-	// lenient allows startsAfter starts after the last crash, which startsOver counts.
+	// allowExtraStarts allows maxExtraStarts starts of a task after maxCrashesPerTask
+	// crashes. extraStarts counts these starts.
 	lenient    bool
 	startsOver map[job.TaskID]int
 }
@@ -322,7 +328,7 @@
 	return f
 }
 
-// removeOwner lets the owner end for good, with what it was about to do.
+// removeOwner removes the owner and all zombies, and drops their unwritten batches.
 func (w *world) removeOwner() {
 	w.ownerless = true
 	w.zombies = nil
@@ -330,10 +336,10 @@
 	w.standbyBatch = nil
 }
 
-// show notes what callers may be told of a job.
+// show records the state of a job that callers may see.
 func (w *world) show(id string, state job.State) {
 	w.shown[id] = state
-	if _, told := w.told[id]; state.Final() && !told {
+	if _, reported := w.told[id]; state.Final() && !reported {
 		w.told[id] = toldEnd{
 			state: state,
 			at:    w.now,
@@ -341,8 +347,8 @@
 	}
 }
 
-// replace lets a worker end, of which the owner is told where its instance was taken,
-// and another one come; it returns the name of that.
+// replaceWorker ends a worker, adds a new one in the same rack, and returns the new id. If the
+// instance was taken, the owner is told that the worker has ended.
 func (w *world) replace(f *fakeWorker, taken bool) string {
 	id := fmt.Sprintf("w%d", len(w.workers))
 	f.down = true
@@ -354,7 +360,7 @@
 	return id
 }
 
-// list tells the owner of every registration.
+// list sends every current registration to the owner.
 func (w *world) list() {
 	var list []outside.Registration
 	for _, f := range w.workers {
@@ -365,7 +371,7 @@
 	w.core.SetWorkers(list, w.regained, w.now)
 }
 
-// registration returns what a worker says of itself in the table.
+// registration returns the row of a worker in the table of registrations.
 func (w *world) registration(f *fakeWorker) outside.Registration {
 	reg := f.reg
 	if w.untold {
@@ -374,18 +380,19 @@
 	return reg
 }
 
+// addViolation records that a rule was broken.
 func (w *world) fault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now.Sub(w.start))+fmt.Sprintf(format, args...))
 }
 
-// submit accepts a job with the given steps at an entry, which tells the owner.
+// submit stores a job with the given steps as an entry does, and tells the owner.
 func (w *world) submit(id string, steps ...job.Step) {
 	record := w.record(id, steps...)
 	w.store(record)
 	w.core.Accept(record, w.version, true, w.now)
 }
 
-// handIn hands a job with the given steps in at the owner.
+// submitToOwner submits a job with the given steps to the owner.
 func (w *world) handIn(id string, steps ...job.Step) {
 	w.core.Submit(w.record(id, steps...), w.now, func(answer shard.Answer) { w.taken[id] = answer.Taken })
 }
@@ -410,7 +417,7 @@
 	}
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
@@ -433,6 +440,7 @@
 	}
 }
 
+// deliver runs the delayed calls that are due.
 func (w *world) deliver() {
 	list := w.pending
 	w.pending = nil
@@ -445,6 +453,7 @@
 	}
 }
 
+// after schedules a call.
 func (w *world) after(d time.Duration, do func()) {
 	w.pending = append(w.pending, late{
 		at: w.now.Add(d),
@@ -452,7 +461,7 @@
 	})
 }
 
-// work lets every worker run for one tick.
+// advanceWorkers advances the runs of every worker by one tick.
 func (w *world) work() {
 	for _, f := range w.workers {
 		if f.down {
@@ -474,7 +483,7 @@
 			case !r.stopAt.IsZero() && !w.now.Before(r.stopAt):
 				f.end(id, outside.EndStopped, w.now)
 			case r.workLeft <= 0 && r.step.Gang && r.step.Label == "poison" && int(r.number)%r.step.Count != id.Index:
-				f.end(id, outside.EndBroken, w.now) // Another member has failed, each time another.
+				f.end(id, outside.EndBroken, w.now) // Another member failed; which one depends on the run.
 			case r.workLeft <= 0 && !r.step.Lasting && r.step.Label == "poison":
 				f.end(id, outside.EndFailed, w.now)
 			case r.workLeft <= 0 && !r.step.Lasting:
@@ -484,8 +493,8 @@
 	}
 }
 
-// stepOf returns the step of a task; of a job whose record is gone only the
-// usual one is known.
+// stepOf returns the step of a task. If the job's record has been removed, it returns the
+// default step.
 func (w *world) stepOf(id job.TaskID) job.Step {
 	if r, found := w.recordOf(id.Job); found {
 		return r.Spec.Steps[id.Step]
@@ -496,7 +505,7 @@
 	}
 }
 
-// recordOf returns the record of a job, in whichever part it stands.
+// recordOf returns the record of a job from the store or the standby partition.
 func (w *world) recordOf(id string) (shard.Record, bool) {
 	record, found := w.records[id]
 	if !found {
@@ -505,7 +514,7 @@
 	return record, found
 }
 
-// holders returns the workers that run something.
+// holders returns the workers that have runs.
 func (w *world) holders() []string {
 	var list []string
 	for id, f := range w.workers {
@@ -529,7 +538,7 @@
 	}
 }
 
-// lasting returns a step of tasks that run until they are cancelled.
+// lasting returns a step of count long-running tasks, of which mayMiss may be unavailable.
 func lasting(count, mayMiss int) job.Step {
 	s := step(count)
 	s.Lasting = true
