--- a/owner/fleet.go
+++ b/owner/fleet.go
@@ -10,97 +10,99 @@
 )
 
 const (
-	// partInstances is the part of the table whose owner orders the instances
-	// about. It can't be the name of a service.
+	// partInstances is the partition whose owner is the instance controller. No service
+	// can have this name.
 	partInstances = "/instances"
 
-	// tableWaves holds how far each wave has come.
+	// tableWaves holds the progress of each wave.
 	tableWaves = "wave"
 
-	// fleetPause is the time between two rounds of the instances' duty. Demand
+	// controlInterval is the time between two rounds of the instance controller. Demand
 	// doubles within a second or two, and a move takes longer than that.
 	fleetPause = 200 * time.Millisecond
 
-	// listPause is the shortest time between two readings of the list of instances, each
-	// of which is priced like a call to the store.
+	// listInterval is the minimum time between two reads of the instance list. Each read
+	// costs as much as a call to the store.
 	listPause = 400 * time.Millisecond
 
-	// instanceBits is what an instance takes in that list, in bits, and listShare the
-	// part of the entry's link that reading it may take: 145 instances would take a
-	// third of 2 Mbit/s, which the loads of the services need as well.
+	// bitsPerInstance is the size of one instance in the list, in bits. maxListLinkShare is
+	// the share of the entry's link that reading the list may use. Without this bound, 145
+	// instances would use a third of a 2 Mbit/s link, which the load requests need as well.
 	instanceBits = 8 * 260
 	listShare    = 0.2
 
-	// listAges is how many pauses old the list may be for instances to be ordered by it.
+	// maxListAgeIntervals is the maximum age of the list, in list intervals, at which
+	// orders may still be based on it.
 	listAges = 4
 
-	// loadTimeout bounds the question for a service's load.
+	// loadTimeout is the timeout of a request for a service's load.
 	loadTimeout = 300 * time.Millisecond
 
-	// orderFresh is how old the last write may be for an order to an instance to
-	// be given. A successor waits several times longer before its first order,
-	// so that an owner that was frozen gives none when it wakes.
+	// maxOrderWriteAge is the maximum age of the last write at which an order may still be
+	// sent to an instance. The next owner waits several times longer before its first order,
+	// so that an owner that was suspended sends none when it resumes.
 	orderFresh = time.Second
 
-	// orderSpan is the span of which the platform counts the orders.
+	// orderRateWindow is the window over which the platform limits the number of orders.
 	orderSpan = time.Second
 
-	// orderedShare is the part of a row that the instances which were ordered lately may take
-	// in the beat, each orderedBytes: its name, and what encodes it.
+	// maxOrderedShare is the share of a row that recently ordered instances may take up in
+	// the heartbeat. orderedEntryBytes is the size of one of them: its name and the encoding.
 	orderedShare = 0.5
 	orderedBytes = 16
 
-	// aliveFor is how long after a claim a holder before that may live may still
-	// give an order: it gave its last one at most orderFresh after its last write,
-	// and was seen not to write for silentWrites.
+	// staleOrderWindow is how long after a claim a previous controller that may still be
+	// running may send orders. It sends its last order at most maxOrderWriteAge after its
+	// last write, and was observed not to write for silenceTimeout.
 	aliveFor = orderFresh - silentWrites
 
-	// endedPause is how long after the last possible order of the holder before the
-	// first one is given: what that sent has arrived by then, or never will. The
-	// instances that it had ordered are left alone for the platform's own pause.
+	// staleOrderMargin is the time between the last possible order of the previous
+	// controller and the first order of this one. An order that has not arrived by then
+	// never will. The instances that the previous controller ordered stay blocked for the
+	// platform's own pause (Site.HolderPause).
 	endedPause = 300 * time.Millisecond
 
-	// endedFor is how long the owners are told of a worker whose instance was
-	// taken: longer than its registration stands.
+	// endedRetention is how long service owners are told about a worker whose instance was
+	// taken. It is longer than the lifetime of a registration.
 	endedFor = 8 * time.Second
 
-	// waveRounds bounds the waves that are worked on at one time.
+	// maxOpenWaves is the maximum number of waves in progress at one time.
 	waveRounds = 8
 )
 
-// WaveSource is where waves come from and where their state is shown.
+// WaveSource reads waves and tells where their state is published.
 type WaveSource struct {
-	// Waves returns the requests that stand in the operator's table.
+	// Waves returns the requests in the operator's table.
 	Waves func() []outside.Wave
 
-	// StatusKey names the row that shows the state of a wave, and Status is its
-	// value.
+	// StatusKey returns the key of the row that shows the state of a wave, and Status
+	// returns its value.
 	StatusKey func(number int64) outside.Key
 	Status    func(completed bool) []byte
 }
 
-// waveRow is the row of how far a wave has come.
+// waveRow is the stored progress of a wave.
 type waveRow struct {
-	// SeenMillis is when the wave was first seen, since 1970.
+	// SeenMillis is when the wave was first seen, in milliseconds since 1970.
 	SeenMillis int64    `cbor:"1,keyasint"`
 	Done       []string `cbor:"2,keyasint"`
 	Completed  bool     `cbor:"3,keyasint"`
 }
 
-// waveState is one wave in memory.
+// waveState is the state of one wave in memory.
 type waveState struct {
 	pool.Wave
 
 	completed bool
 
-	// written says that the row shows what is known; shown that the operator
-	// was told that the wave is under way.
+	// written reports whether the stored row is up to date. shown reports whether the
+	// operator's table shows that the wave is in progress.
 	written bool
 	shown   bool
 }
 
-// fleet is the duty that moves instances between pools and takes them down for
-// maintenance. One entry has it at a time.
+// instanceController moves instances between pools and takes them down for maintenance.
+// One entry runs it at a time.
 type fleet struct {
 	deps   Deps
 	tenure *tenure
@@ -110,38 +112,40 @@
 	instances []outside.Instance
 	listed    time.Time
 
-	// closed and ended are told to the owners with each question. An incarnation of a
-	// worker stands in ended, by its name, for as long as its registration may.
+	// closed and ended are sent to the service owners with each load request. ended maps a
+	// service to its ended worker incarnations and the time at which each was recorded. An
+	// incarnation is kept for endedRetention, longer than its registration may last.
 	closed map[string][]string
 	ended  map[string]map[string]time.Time
 
-	// asked is when the owners were last asked for their loads, which the last plan goes by.
+	// loadsRequestedAt is when the loads that the last plan is based on were requested.
 	asked time.Time
 
-	// fences holds the fence of each owner that told its load; given names the workers whose
-	// instances are about to be ordered by those loads.
+	// fences holds the fencing token of each service owner that reported its load.
+	// releasedWorkers holds the workers whose instances are about to be ordered on the basis
+	// of those loads.
 	fences map[string]int64
 	given  []GivenRow
 
-	// most is how many instances each service could have, by the last plan.
+	// maxInstances is how many instances each service could have, by the last plan.
 	most map[string]int
 
-	// targets is what was last logged of each pool's size.
+	// loggedTargets holds the target size that was last logged for each pool.
 	targets map[string]int
 
-	// recent holds when each instance was last ordered to do something, for the
-	// successor.
+	// lastOrders maps an instance to the time of its last order. It is written to the
+	// heartbeat for the next controller.
 	recent map[string]time.Time
 
-	// orderedAt is when the last orders were given.
+	// orderedAt is when the last orders were sent.
 	orderedAt time.Time
 
-	// quietUntil is until when no order is given, because the holder before may
-	// have given one just now.
+	// noOrdersUntil is the time before which no order is sent, because the previous
+	// controller may have sent one shortly before.
 	quietUntil time.Time
 
-	// aloneUntil is until when what a holder before ordered that may live is left
-	// alone; zero where there is none.
+	// blockedUntil is the time until which instances stay blocked that were ordered by a
+	// previous controller that may still be running. It is zero if there is none.
 	aloneUntil time.Time
 
 	stop     chan struct{}
@@ -149,7 +153,7 @@
 	released chan struct{}
 }
 
-// sizing returns what pools are sized by.
+// sizerOptions returns the options of the pool sizer.
 func (d Deps) sizing() pool.Options {
 	return pool.Options{
 		MoveTime:     d.Site.MoveTime,
@@ -158,10 +162,11 @@
 	}
 }
 
-// newFleet returns the duty of a holder that has won the instances. What any holder before
-// that may live has ordered is left alone for aloneFor, or for what is left by the word of
-// the holder just before, which may itself have waited for one.
-func newFleet(deps Deps, won claim, now time.Time, aloneFor time.Duration) *fleet {
+// newInstanceController returns the controller of an entry that has claimed the instances.
+// Instances that were ordered by a previous controller that may still be running are blocked
+// for blockFor, or for the time remaining in the heartbeat of the previous controller if that
+// is longer: it may itself have waited for an earlier one.
+func newFleet(deps Deps, won claim, now time.Time, blockFor time.Duration) *fleet {
 	f := &fleet{
 		deps:     deps,
 		tenure:   newTenure(deps, partInstances, won, now),
@@ -181,31 +186,32 @@
 	if inherited := time.Duration(won.before.BlindMillis) * time.Millisecond; inherited > 0 {
 		f.aloneUntil = won.read.Add(inherited)
 	}
-	if until := now.Add(aloneFor); aloneFor > 0 && until.After(f.aloneUntil) {
+	if until := now.Add(blockFor); blockFor > 0 && until.After(f.aloneUntil) {
 		f.aloneUntil = until
 	}
 	if f.aloneUntil.IsZero() {
 		return f
 	}
-	// The platform's pause follows the last order that one of them may give.
+	// The platform's pause begins after the last order that a previous controller may send.
 	if last := f.aloneUntil.Add(endedPause - deps.Site.HolderPause); last.After(f.quietUntil) {
 		f.quietUntil = last
 	}
 	for _, instance := range won.before.Ordered {
 		f.sizer.Block(instance, f.aloneUntil)
-		// The next successor may come before the pause has passed.
+		// The next controller may take over before the pause has passed.
 		f.recent[instance] = now
 	}
 	deps.Log.Info("instances left alone", "epoch", won.epoch, "count", len(won.before.Ordered), "ms", f.aloneUntil.Sub(now).Milliseconds())
 	return f
 }
 
-// run works until ctx ends, the duty is released, or it is lost.
+// run runs the controller until ctx ends, or until ownership is released or lost.
 func (f *fleet) run(ctx context.Context) error {
 	if err := f.load(ctx); err != nil {
 		return err
 	}
-	// The owners of services follow the registrations through this entry.
+	// Watching keeps the registry of this entry up to date: service owners read the
+	// registrations through it.
 	defer f.deps.Registry.Watch(partInstances, func(Listing) {})()
 	for {
 		select {
@@ -223,7 +229,7 @@
 	}
 }
 
-// release hands the duty over.
+// release stops the controller and waits until its release is written, at most for wait.
 func (f *fleet) release(ctx context.Context, wait time.Duration) {
 	f.stopOnce.Do(func() { close(f.stop) })
 	select {
@@ -233,17 +239,17 @@
 	}
 }
 
-// round looks, decides and orders once.
+// reconcile observes the fleet, computes a plan and sends its orders once.
 func (f *fleet) round(ctx context.Context) error {
 	f.takeWaves()
 	now := f.deps.Clock.Now()
-	// What the holder before ordered last shows only in a list that is read after
-	// it could give no more orders.
+	// The last orders of the previous controller are visible only in a list that is read
+	// after it could send no more orders.
 	early := now.After(f.quietUntil) && f.listed.Before(f.quietUntil)
 	if early || now.Sub(f.listed) >= f.listPause() {
 		list, err := f.deps.Instances.List(ctx)
 		if err != nil {
-			f.deps.Log.Warn("instances not listed", "error", err.Error())
+			f.deps.Log.Warn("failed to list instances", "error", err.Error())
 		} else {
 			f.instances = list
 			f.listed = f.deps.Clock.Now()
@@ -272,7 +278,7 @@
 	return f.write(ctx, false)
 }
 
-// listPause returns the time between two readings of the list of instances.
+// listInterval returns the time between two reads of the instance list.
 func (f *fleet) listPause() time.Duration {
 	if f.deps.Site.LinkBits <= 0 {
 		return listPause
@@ -281,7 +287,7 @@
 	return max(listPause, time.Duration(bits/(listShare*f.deps.Site.LinkBits)*float64(time.Second)))
 }
 
-// report logs the size of each pool whose target changed, and why.
+// logTargets logs the size of each pool whose target changed, with the load behind it.
 func (f *fleet) report(view pool.View, plan pool.Plan) {
 	for _, service := range view.Services {
 		target := plan.Targets[service.Name]
@@ -296,7 +302,8 @@
 	}
 }
 
-// services asks every owner for its load and tells it what is closed.
+// collectLoads requests the load of every service from its owner. Each request carries the
+// closed workers, the ended incarnations and the maximum number of instances.
 func (f *fleet) services(ctx context.Context) []pool.Service {
 	configured := f.deps.Catalog().Services
 	list := make([]pool.Service, len(configured))
@@ -318,7 +325,7 @@
 				Most:   f.most[service.Name],
 			})
 			if err != nil {
-				f.deps.Log.Info("load not known", "service", service.Name, "error", err.Error())
+				f.deps.Log.Info("failed to get service load", "service", service.Name, "error", err.Error())
 				return nil
 			}
 			list[i].Load = load
@@ -334,7 +341,7 @@
 	return list
 }
 
-// endedOf returns the workers of a service whose instances were taken lately.
+// endedWorkers returns the workers of a service whose instances were taken recently.
 func (f *fleet) endedOf(service string) []string {
 	now := f.deps.Clock.Now()
 	var list []string
@@ -348,5 +355,5 @@
 	return list
 }
 
-// statusBadRequest is the answer to an order that can never be carried out.
+// statusBadRequest is the HTTP status for an order that can never be carried out.
 const statusBadRequest = 400
--- a/owner/quotas.go
+++ b/owner/quotas.go
@@ -18,35 +18,38 @@
 )
 
 const (
-	// tableQuota holds what the services have of each organisation's limit, a row for each
-	// organisation in one part, so that one transaction can change several.
+	// tableQuota holds the shares of the services in each organisation's limit. All rows, one
+	// per organisation, are in one partition, so that one transaction can change several.
 	tableQuota = "quota"
 
-	// quotaReadPause is the time between two looks at what other services have while work
-	// waits for a quota; quotaWritePause that between two changes.
+	// quotaReadInterval is the time between two reads of the ledgers while work waits for a
+	// quota. quotaWriteInterval is the time between two writes.
 	quotaReadPause  = 200 * time.Millisecond
 	quotaWritePause = 20 * time.Millisecond
 
-	// quotaRowsMost bounds the organisations in one change: each takes a condition and a row.
+	// maxQuotaRows is the maximum number of organisations in one transaction: each needs a
+	// condition and a row.
 	quotaRowsMost = outside.MaxEntries / 2
 )
 
-// quotas holds what one service has of the limits of organisations. The loop of its duty
-// alone touches it. What stands in the table counts; what is written and not known to stand
-// allows no more than it and what stood before both do.
+// quotas holds the shares of one service in the limits of organisations. Only the loop of its
+// Duty accesses it. The stored grants apply. While the outcome of a write is unknown, the
+// service may use no more than both the old and the new grant allow.
 type quotas struct {
 	service string
 	epoch   int64
 
-	// rows holds the organisations' ledgers as last read; read says that all have been.
+	// rows maps an organisation to its ledger as last read or written. loaded reports whether
+	// all ledgers have been read.
 	rows map[string]quotaRow
 	read bool
 
-	// inherited holds, by organisation, what owners before were allowed when this one took
-	// their grant over.
+	// inherited maps an organisation to the largest grant of earlier owners that this owner
+	// has found.
 	inherited map[string]quota.Grant
 
-	// writing holds the grants of the change that is under way; reading says that a look is.
+	// writing holds the grants of the write in progress, or nil. reading reports whether a
+	// read is in progress.
 	writing map[string]quota.Grant
 	reading bool
 
@@ -54,7 +57,7 @@
 	writeAt time.Time
 }
 
-// quotaRow is the ledger of one organisation and the version of its row, 0 for none.
+// quotaRow is the ledger of one organisation and the version of its row, 0 if there is none.
 type quotaRow struct {
 	ledger  quota.Ledger
 	version int64
@@ -69,8 +72,8 @@
 	}
 }
 
-// of returns what the service may use of an organisation's limit by a configuration; false
-// where there is no limit.
+// quotaFor returns what the service may use of an organisation's limit under the given
+// configuration. It returns false if the organisation has no limit.
 func (q *quotas) of(organisation string, current *catalog.Catalog) (shard.Quota, bool) {
 	policy, bounded := policyOf(organisation, current)
 	if !bounded {
@@ -101,7 +104,7 @@
 	}, true
 }
 
-// take takes in rows as they stand.
+// applyRows applies rows that were read from the store, unless a newer version is known.
 func (q *quotas) take(rows []outside.Row) error {
 	for _, row := range rows {
 		if row.Key.Table != tableQuota || row.Version <= q.rows[row.Key.Name].version {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// put notes how a row stands. A grant of an owner before is inherited.
+// setRow sets the state of a row. A grant of a previous owner is recorded as inherited.
 func (q *quotas) put(organisation string, row quotaRow) {
 	q.rows[organisation] = row
 	if own := row.ledger[q.service]; own.Epoch < q.epoch && own.Share > q.inherited[organisation].Share {
@@ -127,7 +130,7 @@
 	}
 }
 
-// propose returns the grants that the service should hold instead of those that it does.
+// propose returns the grants that should replace those that the service holds.
 func (q *quotas) propose(usages []shard.Usage, current *catalog.Catalog) map[string]quota.Grant {
 	needs := make(map[string]quota.Need, len(usages))
 	for _, u := range usages {
@@ -156,8 +159,8 @@
 	return changes
 }
 
-// transaction returns the change of some grants under the condition that their rows stand as
-// they were read.
+// transaction builds the transaction that writes the given grants on condition that their
+// rows are unchanged since they were read. It also returns the new rows, without versions.
 func (q *quotas) transaction(changes map[string]quota.Grant) (outside.Transaction, map[string]quotaRow) {
 	var tx outside.Transaction
 	next := make(map[string]quotaRow, len(changes))
@@ -191,7 +194,7 @@
 	return tx, next
 }
 
-// waits reports whether something waits for a quota.
+// anyWaiting reports whether any work waits for a quota.
 func waits(usages []shard.Usage) bool {
 	for _, u := range usages {
 		if u.Waiting != (job.Room{}) {
@@ -201,8 +204,8 @@
 	return false
 }
 
-// balance changes what the service holds of the organisations' limits, where it needs more or
-// less than it does, and looks at what the others hold while something waits.
+// updateQuotas adjusts the grants of the service to its needs. While work waits for a quota,
+// it also reads the grants of the other services.
 func (d *Duty) balance(ctx context.Context, now time.Time) {
 	current := d.deps.Catalog()
 	if !current.HasLimits() {
@@ -221,7 +224,7 @@
 	}
 }
 
-// readQuotas reads what all services hold.
+// readQuotas reads the grants of all services.
 func (d *Duty) readQuotas(ctx context.Context, now time.Time) {
 	d.quotas.reading = true
 	d.quotas.readAt = now
@@ -242,7 +245,7 @@
 	})
 }
 
-// writeQuotas writes grants until it is known whether they stand.
+// writeQuotas writes grants and retries until the outcome is known.
 func (d *Duty) writeQuotas(ctx context.Context, changes map[string]quota.Grant) {
 	tx, next := d.quotas.transaction(changes)
 	d.quotas.writing = changes
@@ -251,8 +254,8 @@
 		d.pushLogged(func(d *Duty, at time.Time) {
 			q := d.quotas
 			if err != nil {
-				// It may yet take effect: nothing more is changed by this owner.
-				d.deps.Log.Warn("quotas given up", "service", d.service, "error", err.Error())
+				// The write may still take effect, so this owner writes no more grants.
+				d.deps.Log.Warn("quota write abandoned", "service", d.service, "error", err.Error())
 				return
 			}
 			q.writing = nil
@@ -275,9 +278,9 @@
 	})
 }
 
-// sendQuotas sends a transaction until it stands, or can't any more because a row stands
-// otherwise than it was read. Every try carries the same conditions, so that it takes effect
-// once at the most.
+// sendQuotas sends a transaction until it is applied or fails with a conflict because a row
+// has changed since it was read. Every attempt carries the same conditions, so that the
+// transaction takes effect at most once.
 func (d *Duty) sendQuotas(ctx context.Context, tx outside.Transaction) (int64, *outside.ConflictError, error) {
 	for {
 		receipt, err := d.deps.Table.Transact(ctx, tx)
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// registryPause is the time between two looks at the registrations: a
-	// draining worker must not be given tasks for long, and workers write their
-	// row every second or two.
+	// registryInterval is the time between two reads of the registrations. It is short
+	// because a draining worker must soon stop receiving tasks; workers write their row every
+	// second or two.
 	registryPause = 250 * time.Millisecond
 
-	// relayedPause is that time where another entry tells the changes: it leaves out the
-	// heartbeats, so that a look ends only with something new.
+	// relayedInterval replaces registryInterval if another entry relays the changes. That
+	// entry leaves out the heartbeats, so that a read ends only when something has changed.
 	relayedPause = 30 * time.Millisecond
 
-	// registryWait is how long a look may wait for a change.
+	// registryFeedWait is how long a read may wait for a change.
 	registryWait = 750 * time.Millisecond
 
-	// foreignMost bounds the rows of other writers that are remembered to log each once;
-	// a deployment has some hundred workers.
+	// maxForeignRows is the maximum number of rows of other writers that are remembered in
+	// order to log each once. A deployment has a few hundred workers.
 	foreignMost = 1000
 )
 
-// Listing is what the registry knows of the workers of a service.
+// Listing holds the registered workers of a service.
 type Listing struct {
 	Workers []outside.Registration
 
-	// Regained is when the store was last regained; zero where it was never
-	// away. Registrations that lapsed meanwhile come back soon after it.
+	// Regained is when the store last became available again, or zero if it was never
+	// unavailable. Registrations that lapsed meanwhile come back soon after.
 	Regained time.Time
 }
 
-// Registry follows the workers' registrations while anybody watches.
+// Registry tracks the registrations of workers while it has watchers.
 type Registry struct {
-	// Count counts the rows of other writers; set before use.
+	// Count counts the rows of other writers. It must be set before use.
 	Count func(name, outcome string)
 
 	table  outside.Table
@@ -52,33 +52,34 @@
 
 	mu sync.Mutex
 
-	// loaded says that all registrations were read and have been followed since, or can be
-	// from version on, which is that of the read.
+	// loaded reports whether all registrations have been read, and their changes have been
+	// followed since or can be followed from version. version is that of the read.
 	loaded  bool
 	version int64
 
 	workers  map[string]registered
 	watchers map[string]func(Listing)
 
-	// foreign holds the keys of rows that no worker wrote, as logged, while they stand.
+	// foreign holds the keys of rows that were not written by a worker and have been logged,
+	// as long as these rows are stored.
 	foreign map[string]bool
 
-	// away says that the last look failed; regained is when one succeeded
-	// again.
+	// unavailable reports whether the last read failed. regainedAt is when a read last
+	// succeeded after a failure.
 	away     bool
 	regained time.Time
 
-	// wanted holds a token when somebody watches.
+	// watchAdded holds a token after a watcher was added.
 	wanted chan struct{}
 }
 
-// registered is a registration with the version of its row.
+// registrationRow is a registration with the version of its row.
 type registered struct {
 	outside.Registration
 	version int64
 }
 
-// NewRegistry returns a registry over the table of the given name.
+// NewRegistry returns a registry of the rows in the table of the given name.
 func NewRegistry(table outside.Table, clock clock.Clock, name string, decode func(string, []byte) (outside.Registration, error), log *slog.Logger) *Registry {
 	return &Registry{
 		Count:    func(string, string) {},
@@ -94,14 +95,14 @@
 	}
 }
 
-// Refresh reads every registration anew. An owner calls it once it has taken a
-// service, so that it knows every worker that the owner before may have used.
+// Refresh reads all registrations again. An owner calls it once it has claimed a service, so
+// that it knows every worker that the previous owner may have used.
 func (r *Registry) Refresh(ctx context.Context) error {
 	_, err := r.read(ctx)
 	return err
 }
 
-// Run follows the table until ctx ends.
+// Run follows the table until ctx ends. It pauses while there is no watcher.
 func (r *Registry) Run(ctx context.Context) error {
 	version := int64(-1)
 	for {
@@ -118,7 +119,7 @@
 		next, relayed, err := r.follow(ctx, version)
 		if err != nil {
 			r.setAway()
-			r.log.Warn("registrations not read", "error", err.Error())
+			r.log.Warn("failed to read registrations", "error", err.Error())
 		} else {
 			version = next
 		}
@@ -132,8 +133,8 @@
 	}
 }
 
-// Watch calls changed with the service's registrations now, where they are
-// known, and after each change, until the returned function is called.
+// Watch calls changed with the service's registrations after each change until the returned
+// function is called. It also calls changed immediately if the registrations are known.
 func (r *Registry) Watch(service string, changed func(Listing)) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,8 +153,9 @@
 	}
 }
 
-// follow takes in what has changed after a version, or all where that is below 0. It returns the
-// version from which to go on, and whether another entry told the changes.
+// follow applies the changes after a version, or reads all registrations if the version is
+// negative. It returns the version to continue from and whether another entry relayed the
+// changes.
 func (r *Registry) follow(ctx context.Context, version int64) (int64, bool, error) {
 	if version < 0 {
 		if next, read := r.refreshed(); read {
@@ -210,31 +212,31 @@
 	return version, nil
 }
 
-// refreshed returns the version of a read that was made before anybody watched; false where there
-// was none.
+// loadedVersion returns the version of a read that was made before there was a watcher. It
+// returns false if there was none.
 func (r *Registry) refreshed() (int64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version, r.loaded
 }
 
-// apply takes in one row and marks the services whose list changed.
+// apply applies one row and adds the services whose listing changed to touched.
 func (r *Registry) apply(row outside.Row, touched map[string]bool) {
 	before, known := r.workers[row.Key.Name]
 	if !row.Gone && row.Version < before.version {
-		// A refresh has shown a newer row than this change.
+		// Refresh has read a newer row than this change.
 		return
 	}
 	var reg outside.Registration
-	sound := false
+	validRow := false
 	if row.Gone {
 		delete(r.foreign, row.Key.Name)
 	} else {
-		reg, sound = r.sound(row)
+		reg, validRow = r.sound(row)
 	}
-	if !sound {
-		// The row of another writer names no worker to use. What runs on one that stood
-		// there before is looked at like that of any worker whose row is gone.
+	if !validRow {
+		// A row of another writer does not name a usable worker. If it replaced the row of
+		// a worker, that worker's runs are handled as for any worker whose row is gone.
 		if known {
 			touched[before.Service] = true
 			delete(r.workers, row.Key.Name)
@@ -251,8 +253,9 @@
 	}
 }
 
-// sound reads a row; false where no worker wrote it. Each such key is logged once, until
-// it holds a worker's row again: another writer may write it every second.
+// validRow decodes a row. It returns false if the row was not written by a worker. Each such
+// key is logged once until it holds a worker's row again, because another writer may write it
+// every second.
 func (r *Registry) sound(row outside.Row) (outside.Registration, bool) {
 	key := row.Key.Name
 	reg, err := r.decode(key, row.Value)
@@ -280,22 +283,22 @@
 	return l
 }
 
-// setAway notes that the store could not be read.
+// markUnavailable records that the store could not be read.
 func (r *Registry) setAway() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.away = true
 }
 
-// noteRead notes that the store was read. Every service whose workers are
-// watched is told of a return, since it changes what a missing row means.
+// markAvailable records that the store was read. If the store was unavailable before, it adds
+// all watched services to touched, because the return changes the meaning of a missing row.
 func (r *Registry) noteRead(touched map[string]bool) {
 	if !r.away {
 		return
 	}
 	r.away = false
 	r.regained = r.clock.Now()
-	r.log.Info("registrations read again", "workers", len(r.workers))
+	r.log.Info("registrations readable again", "workers", len(r.workers))
 	for service := range r.watchers {
 		touched[service] = true
 	}
--- a/owner/restore.go
+++ b/owner/restore.go
@@ -10,7 +10,8 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// load reads every row of the service.
+// load reads all rows of the service and restores the shard from them. It returns the version
+// from which changes of the jobs are followed.
 func (d *Duty) load(ctx context.Context) (int64, error) {
 	records, since, err := d.readHolding(ctx, prefixIntake+d.service)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return since, nil
 }
 
-// restoreRefusals takes in which jobs earlier owners have turned away.
+// restoreRefusals restores the refusals of jobs by earlier owners.
 func (d *Duty) restoreRefusals(rows []outside.Row) {
 	for _, row := range rows {
 		refusal, err := shard.DecodeRefusal(row.Value)
@@ -80,10 +81,10 @@
 	}
 }
 
-// readHolding reads the rows of the service in a table, and holds on to the service
-// meanwhile: with a long backlog over a thin link that takes longer than an owner may be
-// silent. Without it each successor was succeeded while it read, and none ever served: 36
-// owners of one service in a row over links of 2 Mbit/s, counted in the log of a day.
+// readWithHeartbeat reads the rows of the service in a table and writes heartbeats meanwhile:
+// with a long backlog and a slow link, reading takes longer than an owner may be silent.
+// Without the heartbeats each new owner lost the service while it was reading, and none ever
+// served: over links of 2 Mbit/s, one service had 36 owners in a row.
 func (d *Duty) readHolding(ctx context.Context, table string) ([]outside.Row, int64, error) {
 	var rows []outside.Row
 	version, err := d.deps.Table.ReadPages(ctx, table, d.service, func(page []outside.Row) error {
@@ -93,8 +94,8 @@
 	return rows, version, err
 }
 
-// holdOn writes a beat when one is due. It says what the claim's did, as this owner has
-// ordered nothing yet.
+// writeDueHeartbeat writes a heartbeat if one is due. It repeats the content of the claim's
+// heartbeat, as this owner has ordered nothing yet.
 func (d *Duty) holdOn(ctx context.Context) error {
 	now := d.deps.Clock.Now()
 	if now.Sub(d.tenure.lastWrite) < beatPause {
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// inherit takes in the workers that the owner before may have given tasks, and which
-// of them have ended with their instances.
+// restoreWorkers restores the workers to which the previous owner may have given tasks, and
+// marks those that have ended with their instances.
 func (d *Duty) inherit(ctx context.Context, rows []outside.Row, now time.Time) {
 	for _, row := range rows {
 		address, err := netip.ParseAddrPort(string(row.Value))
--- a/owner/rows.go
+++ b/owner/rows.go
@@ -8,122 +8,123 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// Tables of the scheduler. All rows of a service stand in the part of its name.
+// Tables of the scheduler. All rows of a service are in the partition of its name.
 const (
-	// tableBeat holds a row that every transaction of an owner writes.
+	// tableBeat holds the heartbeat row, which every transaction of an owner writes.
 	tableBeat = "beat"
 
-	// TableOwners holds who owns a service; it changes only with the owner.
+	// TableOwners holds the owner of a service. It changes only with the owner.
 	TableOwners = "owner"
 
-	// tableUsed holds the workers that the owner may have given tasks, so that a
-	// successor looks at them whether or not they are registered.
+	// tableRefused holds the refusals of jobs. tableUsed holds the workers to which the owner
+	// may have given tasks, so that the next owner polls them whether or not they are
+	// registered.
 	tableRefused = "refused"
 	tableUsed    = "used"
 
-	// tableProgress holds what has happened to jobs.
+	// tableProgress holds the progress of jobs.
 	tableProgress = "progress"
 
-	// prefixIntake begins the tables of accepted jobs; there is one for each
-	// service, so that an owner reads the changes of its own jobs only.
+	// prefixIntake is the prefix of the tables of accepted jobs. Each service has its own
+	// table, so that an owner reads only the changes of its own jobs.
 	prefixIntake = "intake."
 
-	// prefixCancel begins the keys of cancellations that an entry wrote because
-	// it could not reach the owner.
+	// prefixCancel is the prefix of the keys of cancellations that an entry wrote itself
+	// because it could not reach the owner.
 	prefixCancel = "cancel."
 
 	keyBeat  = "beat"
 	keyOwner = "owner"
 )
 
-// Beat is the row that shows how far an owner has come.
+// Beat is the heartbeat row of an owner. It also carries what the next owner has to know.
 type Beat struct {
 	Epoch int64 `cbor:"1,keyasint"`
 
-	// Sequence counts the owner's transactions; it tells whether one without
-	// an answer was applied.
+	// Sequence counts the owner's transactions. It shows whether a transaction without an
+	// answer was applied.
 	Sequence int64 `cbor:"2,keyasint"`
 
-	// Lapsed names the workers of a service on which nothing runs for sure. A
-	// successor need not wait for them.
+	// IdleWorkers names the workers of a service on which certainly nothing runs. The next
+	// owner need not wait for them.
 	Lapsed []string `cbor:"3,keyasint,omitempty"`
 
-	// Ordered names the instances that the owner of the instances has ordered to do
-	// something lately, or is about to: it writes this before it gives the orders.
-	// Its successor leaves them alone for a while; no other can have been ordered.
+	// Ordered names the instances to which the instance controller has recently sent an order
+	// or is about to send one: it writes this field before it sends the orders. The next
+	// controller blocks these instances for a while. No other instance can have been ordered.
 	Ordered []string `cbor:"4,keyasint,omitempty"`
 
-	// Leased says what may run on other workers that a successor may not reach. For
-	// one that neither field names it knows nothing.
+	// Leased holds what may still run on other workers, in case the next owner cannot reach
+	// them. Nothing is known of a worker that is neither here nor in IdleWorkers.
 	Leased []LeasedRow `cbor:"5,keyasint,omitempty"`
 
-	// Taken names the incarnations of workers whose instances the owner of the instances has taken
-	// lately.
+	// Taken names the worker incarnations whose instances the instance controller has
+	// recently taken.
 	Taken []TakenRow `cbor:"6,keyasint,omitempty"`
 
-	// Given names the workers whose instances the owner of the instances is about to order:
-	// the owner of their service had told that nothing runs there. It writes this before it
-	// looks whether that is still the owner, and gives the orders after it.
+	// ReleasedWorkers names the workers whose instances the instance controller is about to
+	// order, because the owner of their service reported that nothing runs there. The
+	// controller first writes this field, then checks that the service still has the same
+	// owner, and then sends the orders.
 	Given []GivenRow `cbor:"8,keyasint,omitempty"`
 
-	// BlindMillis is for how long after the transaction was made the successor has to
-	// reckon with an owner before this one that may live, even if this one has ended. At
-	// a service, something that it started may run on any worker that neither Lapsed
-	// nor Leased names; of the instances, those in Ordered are left alone.
+	// UnobservedMillis is how long after this transaction was made, in milliseconds, an
+	// owner before this one may still matter, even if this one has ended. For a service,
+	// runs that it started may still exist on any worker that is neither in IdleWorkers nor
+	// in Leased. For the instance controller, the instances in Ordered stay blocked.
 	BlindMillis int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// GivenRow is a worker of a service whose instance is about to be ordered.
+// ReleasedRow is a worker of a service whose instance is about to be ordered.
 type GivenRow struct {
 	Service string `cbor:"1,keyasint"`
 	Worker  string `cbor:"2,keyasint"`
 }
 
-// LeasedRow is what may run on one worker.
+// LeasedRow holds the tasks that may run on one worker.
 type LeasedRow struct {
 	Worker string `cbor:"1,keyasint"`
 
-	// LeftMillis is how long after the transaction was made it may run at the most.
+	// RemainingMillis is how long after the transaction was made tasks may run there at most.
 	LeftMillis int64 `cbor:"2,keyasint"`
 
-	// Unknown says that it may be any task; otherwise Tasks holds the names of all
-	// that it may be.
+	// AnyTask reports that any task may run there. Otherwise Tasks names all tasks that may.
 	Unknown bool     `cbor:"3,keyasint,omitempty"`
 	Tasks   []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Ownership is the row that says who owns a service.
+// Ownership is the row that names the owner of a service.
 type Ownership struct {
-	// Epoch grows with each owner; it is the fence at the workers.
+	// Epoch increases with each owner. It is the fencing token at the workers.
 	Epoch int64 `cbor:"1,keyasint"`
 
-	// Owner is the incarnation of an entry, and Peer where it answers others.
+	// Owner is the incarnation of the owning entry, and Peer its address for other entries.
 	Owner string `cbor:"2,keyasint"`
 	Peer  string `cbor:"3,keyasint"`
 
-	// Released says that the owner has stopped giving orders.
+	// Released reports whether the owner has stopped sending orders.
 	Released bool `cbor:"4,keyasint,omitempty"`
 
-	// Next is the incarnation that a released part is meant for; empty where the
-	// owner knew of none. It only advises: whoever claims first owns the part.
+	// Next is the incarnation that should claim a released partition, or empty if the owner
+	// knew of none. It is only a hint: whoever claims first owns the partition.
 	Next string `cbor:"5,keyasint,omitempty"`
 }
 
-// TakenRow is a worker that has ended because its instance was moved or taken down.
+// TakenRow is a worker incarnation that ended because its instance was moved or taken down.
 type TakenRow struct {
 	Service string `cbor:"1,keyasint"`
 	Worker  string `cbor:"2,keyasint"`
 
-	// LeftMillis is for how long the owner of the service is still told of it.
+	// RemainingMillis is how long the owner of the service is still told about the worker.
 	LeftMillis int64 `cbor:"3,keyasint"`
 }
 
-// CancelKey names the row of a cancellation that an entry wrote itself.
+// CancelKey returns the key of a cancellation that an entry wrote itself.
 func CancelKey(service, id string) outside.Key {
 	return IntakeKey(service, prefixCancel+id)
 }
 
-// IntakeKey names the row of an accepted job.
+// IntakeKey returns the key of the row of an accepted job.
 func IntakeKey(service, id string) outside.Key {
 	return outside.Key{
 		Table: prefixIntake + service,
@@ -132,7 +133,7 @@
 	}
 }
 
-// RefusedKey names the row of a job that was turned away.
+// RefusedKey returns the key of the row of a refused job.
 func RefusedKey(service, id string) outside.Key {
 	return outside.Key{
 		Table: tableRefused,
@@ -141,7 +142,7 @@
 	}
 }
 
-// usedKey names the row of a worker that may run something.
+// usedKey returns the key of the row of a worker that may run tasks.
 func usedKey(service, worker string) outside.Key {
 	return outside.Key{
 		Table: tableUsed,
@@ -150,7 +151,7 @@
 	}
 }
 
-// ProgressKey names the row of what has happened to a job.
+// ProgressKey returns the key of the row of a job's progress.
 func ProgressKey(service, id string) outside.Key {
 	return outside.Key{
 		Table: tableProgress,
--- a/owner/standby.go
+++ b/owner/standby.go
@@ -11,60 +11,60 @@
 )
 
 const (
-	// prefixStandby begins the names of the standby parts, one for each service. It
-	// can't begin the name of a service.
+	// prefixStandby is the prefix of the names of the standby partitions, one for each
+	// service. No service name can begin with it.
 	prefixStandby = "/standby/"
 
-	// standbyPauseMost is the longest pause between two tries to open the standby
-	// part; nothing that an earlier owner may have seen starts before.
+	// maxStandbyBackoff is the maximum time between two attempts to open the standby
+	// partition. No job that an earlier owner may have seen starts before it is open.
 	standbyPauseMost = 250 * time.Millisecond
 
-	// standbyRowsMost bounds the rows of one transaction, below what one may hold
-	// with those of the tenure.
+	// maxStandbyRows is the maximum number of rows in one transaction. It leaves room below
+	// the limit of a transaction for the rows of the tenure.
 	standbyRowsMost = 80
 
-	// standbyCleanPause is the time between two removals of rows that have become
-	// needless.
+	// standbyCleanupInterval is the time between two removals of redundant rows.
 	standbyCleanPause = 500 * time.Millisecond
 )
 
-// standby is the part of the store that a duty writes to while the part of its
-// service takes nothing: an outage may meet some parts and not others. It is owned
-// like the service's own part, under the same epoch, and only the loop of the duty
-// touches it.
+// standby is the partition of the store to which a Duty writes while its own partition rejects
+// writes: an outage may affect only some partitions. It is owned like the service's own
+// partition, under the same epoch, and only the loop of the Duty accesses it.
 type standby struct {
-	// tenure is nil until the part is owned and read.
+	// tenure is nil until the partition is owned and read.
 	tenure *tenure
 
-	// busy says that a transaction is under way.
+	// busy reports whether a transaction is in progress.
 	busy bool
 
-	// notBefore is when the next transaction may be sent after one without effect,
-	// cleaned when rows were last removed.
+	// notBefore is the earliest time of the next transaction after one without effect.
+	// cleanedAt is when redundant rows were last removed.
 	notBefore time.Time
 	cleaned   time.Time
 }
 
-// StandbyIntakeKey names the row of an accepted job in the standby part.
+// StandbyIntakeKey returns the key of the row of an accepted job in the standby partition.
 func StandbyIntakeKey(service, id string) outside.Key {
 	key := IntakeKey(service, id)
 	key.Part = prefixStandby + service
 	return key
 }
 
-// StandbyProgressKey names the row of a final state in the standby part.
+// StandbyProgressKey returns the key of the row of a final state in the standby partition.
 func StandbyProgressKey(service, id string) outside.Key {
 	key := ProgressKey(service, id)
 	key.Part = prefixStandby + service
 	return key
 }
 
-// usable reports whether jobs may be taken that the service's own part does not.
+// usable reports whether the standby partition can accept jobs that the service's own
+// partition rejects.
 func (s *standby) usable() bool {
 	return s.tenure != nil && !s.tenure.failing()
 }
 
-// openStandby owns and reads the standby part, however long that takes.
+// openStandby claims and reads the standby partition. It retries until it succeeds, ownership
+// is lost or ctx ends.
 func (d *Duty) openStandby(ctx context.Context) error {
 	for failures := 1; ; failures++ {
 		err := d.tryStandby(ctx)
@@ -95,7 +95,7 @@
 	return d.push(func(d *Duty, now time.Time) {
 		d.standby.tenure = owned
 		if err := d.core.ReadStandby(records, ended, d.recordless, now); err != nil {
-			d.deps.Log.Error("rows left out", "part", prefixStandby+d.service, "error", err)
+			d.deps.Log.Error("standby rows skipped", "part", prefixStandby+d.service, "error", err)
 		}
 		d.standbyRead.Store(true)
 		d.deps.Log.Info("standby part opened", "service", d.service, "epoch", d.tenure.epoch, "records", len(records), "ended", len(ended))
@@ -103,8 +103,8 @@
 	})
 }
 
-// claimStandby makes the standby part this owner's, so that no transaction of an
-// earlier one takes effect there any more. An earlier try of its own may have
+// claimStandby claims the standby partition for this owner, so that no transaction of an
+// earlier owner takes effect there any more. An earlier attempt of this owner may already have
 // succeeded.
 func (d *Duty) claimStandby(ctx context.Context) (*tenure, error) {
 	part := prefixStandby + d.service
@@ -150,8 +150,8 @@
 	return t
 }
 
-// readStandby reads what earlier owners wrote to the standby part. A row that can't be
-// read holds up nothing else.
+// readStandby reads the records and final states that earlier owners wrote to the standby
+// partition. Rows that cannot be decoded are logged and skipped.
 func (d *Duty) readStandby(ctx context.Context) ([]shard.Record, map[string]shard.Progress, error) {
 	part := prefixStandby + d.service
 	rows, _, err := d.deps.Table.ReadAll(ctx, tableProgress, part)
@@ -183,8 +183,8 @@
 	return records, ended, nil
 }
 
-// commitStandby writes to the standby part while the service's own takes nothing,
-// and removes what has become needless otherwise.
+// commitStandby writes to the standby partition while the service's own partition rejects
+// writes. Otherwise it removes redundant rows.
 func (d *Duty) commitStandby(ctx context.Context, now time.Time) {
 	s := &d.standby
 	if s.tenure == nil || s.busy || d.releasing || now.Before(s.notBefore) {
@@ -200,8 +200,9 @@
 	}
 }
 
-// writeStandby writes what callers wait for. With nothing to write it tries whether
-// a part that failed takes something again.
+// writeStandby writes the records and final states that callers wait for. If there are none
+// and the standby partition has failed, it sends an empty write to test whether the partition
+// accepts writes again.
 func (d *Duty) writeStandby(ctx context.Context) {
 	batch := d.core.TakeStandby(standbyRowsMost)
 	if batch.Empty() && d.standby.usable() {
@@ -231,8 +232,8 @@
 	})
 }
 
-// cleanStandby removes the rows of jobs whose final state stands in the service's
-// own part.
+// cleanStandby removes the rows of jobs whose final state is stored in the service's own
+// partition.
 func (d *Duty) cleanStandby(ctx context.Context) {
 	ids := d.core.Settled(standbyRowsMost / 2)
 	if len(ids) == 0 {
@@ -249,9 +250,9 @@
 	})
 }
 
-// transactStandby sends one transaction until its fate is known, and then calls back
-// in the loop. It does not where the fate stays open, because the part is lost or the
-// duty ends: an earlier try may have had an effect.
+// transactStandby sends one transaction until its outcome is known, and then calls then in the
+// loop. It does not call then if the outcome stays unknown because the partition is lost or the
+// Duty ends: an earlier attempt may have taken effect.
 func (d *Duty) transactStandby(ctx context.Context, rows rowChanges, then func(done bool, at time.Time)) {
 	owned := d.standby.tenure
 	tx := owned.transaction(Beat{}, rows, false)
@@ -271,14 +272,14 @@
 			case errors.As(err, &lost):
 				d.core.Depose()
 			default:
-				d.deps.Log.Info("standby part left open", "service", d.service, "epoch", d.tenure.epoch, "error", err.Error())
+				d.deps.Log.Info("outcome of standby write unknown", "service", d.service, "epoch", d.tenure.epoch, "error", err.Error())
 			}
 		})
 		return nil
 	})
 }
 
-// versionOf returns the version of a row, 0 for one that does not stand.
+// versionOf returns the version of a row, or 0 if the row does not exist.
 func versionOf(row *outside.Row) int64 {
 	if row == nil {
 		return 0
