--- a/owner/succession.go
+++ b/owner/claim.go
@@ -11,7 +11,8 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// consider decides whether this entry takes a service now.
+// maybeClaim pings the current owner of a service when a ping is due, and starts to claim the
+// service once it has been free for long enough. The caller holds k.mu.
 func (k *Keeper) consider(ctx context.Context, service string, now time.Time) {
 	o := k.owners[service]
 	w := k.watches[service]
@@ -54,9 +55,9 @@
 	})
 }
 
-// pause returns how long a part must have been free for this entry to take it. The
-// entry that it was released for takes it at once, and the others after their rank
-// as if that one stood before them all.
+// claimDelay returns how long a part must have been free before this entry claims it. The
+// entry that the part was released for claims it at once. The others wait according to their
+// rank, as if that entry ranked before all of them.
 func (k *Keeper) pause(o known, rank int) time.Duration {
 	switch o.Next {
 	case k.self.Incarnation:
@@ -68,8 +69,9 @@
 	return rankPause*time.Duration(rank) + ownedPause*time.Duration(len(k.seizing))
 }
 
-// rank returns this entry's place among the successors of an owner: entries
-// with more processor go first, and among equals each service has its own order.
+// rank returns the position of this entry among the possible successors of an owner, from 0.
+// Entries with more cores come first; entries with the same number are ordered by weight, so
+// that each service has its own order.
 func (k *Keeper) rank(service, owner string) int {
 	mine := weight(service, k.self.Incarnation)
 	rank := 0
@@ -85,12 +87,12 @@
 	return rank
 }
 
-// weight orders equal entries for a service.
+// weight returns a hash that orders entries with equal cores differently for each service.
 func weight(service, member string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + member)
 }
 
-// probe asks an owner whether it still works.
+// probe pings an owner and marks it as dead or lost in its ownerWatch.
 func (k *Keeper) probe(ctx context.Context, service string, o known) {
 	var pong Pong
 	address, err := netip.ParseAddrPort(o.Peer)
@@ -119,7 +121,7 @@
 	_, version, err := k.beat(ctx, service)
 	k.mu.Lock()
 	still := w.still.note(version, err, k.deps.Clock.Now())
-	// The store serves this entry and, by the owner's own word, not the owner.
+	// The store serves this entry, but by the owner's own report rejects the owner's writes.
 	if served := err == nil; (away && served) || (silent && still >= k.patient(silentWrites)) {
 		w.lost = true
 		k.deps.Log.Info("owner writes nothing", "service", service, "owner", o.Owner, "epoch", o.Epoch,
@@ -128,8 +130,8 @@
 	}
 }
 
-// judge takes in an owner's answer. It reports whether the owner's beat is to be
-// watched, and whether the owner is lost if that stands still.
+// evaluatePong handles the result of a ping. suspect means that the owner's heartbeat has to be
+// watched, silent that the owner is lost if its heartbeat does not change.
 func (k *Keeper) judge(w *watch, o known, pong Pong, err error) (suspect, silent bool) {
 	switch {
 	case err == nil && pong.Incarnation != o.Owner, outside.IsNotDone(err):
@@ -145,9 +147,9 @@
 	return pong.WriteAge >= k.patient(suspectWrites), pong.WriteAge >= k.patient(staleWrites)
 }
 
-// note takes in the version of a beat, and returns for how long it has stood
-// still. A gap in the watch starts it anew: the owner may be about to write after
-// an outage of the store that met both.
+// observe handles one read of the heartbeat and returns for how long its version has not
+// changed. A failed read restarts the measurement: the store may have failed for the owner as
+// well, and the owner may be about to write again.
 func (s *stillness) note(version int64, err error, now time.Time) time.Duration {
 	if err != nil {
 		*s = stillness{}
@@ -162,16 +164,17 @@
 	return now.Sub(s.since)
 }
 
-// patient returns how long an owner may take, given what it may on a calm day:
-// with a slow store each write takes the time of several.
-func (k *Keeper) patient(calm time.Duration) time.Duration {
+// scaleTimeout returns a timeout for an owner's writes, given its normal value. It is longer
+// while the store is slow, because each write then takes as long as several normal ones.
+func (k *Keeper) patient(normal time.Duration) time.Duration {
 	if k.deps.Slow() {
-		return slowFactor * calm
+		return slowFactor * normal
 	}
-	return calm
+	return normal
 }
 
-// beat reads the last beat of a part's owner and its version.
+// beat reads the last heartbeat of a part's owner and the version of its row. Both are zero if
+// there is no row.
 func (k *Keeper) beat(ctx context.Context, part string) (Beat, int64, error) {
 	row, err := k.deps.Table.Row(ctx, beatKey(part))
 	if err != nil || row == nil {
@@ -181,18 +184,22 @@
 	return beat, row.Version, err
 }
 
-// claim writes the row of the owner under the condition that it stands as
-// known, and that the owner before has written nothing since its beat was read, or
-// since it was seen to stand still at the given version; 0 for one that has ended. blindFor
-// is for how long that one may matter; the longer of it and of what was known before is
-// what the claim passes on. A lost answer is resolved by reading the row.
-func (k *Keeper) claim(ctx context.Context, service string, o known, still int64, blindFor time.Duration) (claim, error) {
+// claim makes this entry the owner of a service. The transaction checks that the owner's row is
+// still o and that the previous owner has not written since its heartbeat was read here.
+//
+// unchangedVersion is the version at which the previous owner's heartbeat was seen to be
+// unchanged; if it has another version now, claim returns a *RecoveredError. It is 0 if the
+// previous owner has ended or has released the service. unobservedFor is how long runs or orders
+// of earlier owners may still be unobserved; the claim writes the longer of it and of what the
+// previous heartbeat says. If the transaction gets no answer, claim reads the row to find out
+// whether it was applied.
+func (k *Keeper) claim(ctx context.Context, service string, o known, unchangedVersion int64, unobservedFor time.Duration) (claim, error) {
 	before, version, err := k.beat(ctx, service)
 	if err != nil {
 		return claim{}, err
 	}
 	read := k.deps.Clock.Now()
-	if still != 0 && version != still {
+	if unchangedVersion != 0 && version != unchangedVersion {
 		return claim{}, &RecoveredError{
 			Part:  service,
 			Owner: o.Owner,
@@ -204,7 +211,7 @@
 		Peer:  k.self.Peer.String(),
 	}
 	value := encodeRow(next)
-	receipt, err := k.deps.Table.Transact(ctx, claiming(service, o.version, version, next, passedOn(before, blindFor)))
+	receipt, err := k.deps.Table.Transact(ctx, claiming(service, o.version, version, next, passedOn(before, unobservedFor)))
 	won := claim{
 		epoch:   next.Epoch,
 		version: receipt.Version,
@@ -234,16 +241,17 @@
 	return won, nil
 }
 
-// passedOn returns what the claim's beat repeats of the one before. What that said of
-// workers and of taken instances stays true until the next owner writes: it starts nothing
-// before. Its spans have shrunk since, and are not cut: they may only be too long.
-func passedOn(before Beat, blindFor time.Duration) Beat {
+// claimBeat returns the heartbeat that a claim writes, built from that of the previous owner.
+// What the previous heartbeat says of workers and of taken instances stays true until the new
+// owner writes, because the new owner starts nothing before that. Its durations have become
+// shorter since but are copied unchanged: it is safe for them to be too long.
+func passedOn(before Beat, unobservedFor time.Duration) Beat {
 	beat := Beat{
 		Lapsed:      before.Lapsed,
 		Leased:      before.Leased,
 		Taken:       before.Taken,
 		Given:       before.Given,
-		BlindMillis: max(before.BlindMillis, millisUp(blindFor)),
+		BlindMillis: max(before.BlindMillis, millisUp(unobservedFor)),
 	}
 	if beat.BlindMillis > 0 {
 		beat.Ordered = before.Ordered
@@ -251,8 +259,8 @@
 	return beat
 }
 
-// claiming builds the transaction that makes a part the next owner's, if the rows of
-// the owner before still have the given versions. beat is what it passes on.
+// claimTransaction builds the transaction that gives a part to the next owner. It applies only
+// if the previous owner's rows still have the given versions. beat is the heartbeat to write.
 func claiming(part string, ownerVersion, beatVersion int64, next Ownership, beat Beat) outside.Transaction {
 	beat.Epoch = next.Epoch
 	return outside.Transaction{
@@ -273,15 +281,15 @@
 	}
 }
 
-// stillness is a beat that has not changed while it was watched.
+// unchangedBeat records since when a watched heartbeat has had the same version.
 type stillness struct {
 	version int64
 
-	// since is when the version was first seen; zero where nothing is watched.
+	// since is when the version was first seen; zero while no heartbeat is watched.
 	since time.Time
 }
 
-// RecoveredError reports that an owner that was taken for lost writes again.
+// RecoveredError reports that an owner that was considered lost has written again.
 type RecoveredError struct {
 	Part  string
 	Owner string
@@ -289,5 +297,5 @@
 
 // Error implements error.
 func (e *RecoveredError) Error() string {
-	return "owner " + e.Owner + " of " + e.Part + " writes again"
+	return "owner " + e.Owner + " of " + e.Part + " has written again"
 }
--- a/owner/tell.go
+++ b/owner/queries.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Duty returns the duty of a service that this entry owns and has loaded.
+// Duty returns the duty of a service that this entry owns and whose rows it has loaded.
 func (k *Keeper) Duty(service string) (*Duty, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -14,7 +14,7 @@
 	return h.duty, found && h.duty != nil && h.duty.ready.Load()
 }
 
-// Owner returns where the owner of a service answers; false where none is known.
+// Owner returns the peer address of the owner of a service; false if none is known.
 func (k *Keeper) Owner(service string) (netip.AddrPort, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,8 +26,8 @@
 	return address, err == nil
 }
 
-// Owners returns where the other entries answer that own something. It reports whether this
-// entry owns something itself.
+// Owners returns the peer addresses of the other entries that own a part, and whether this
+// entry owns one itself.
 func (k *Keeper) Owners() ([]netip.AddrPort, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -42,8 +42,8 @@
 	return list, len(k.held) > 0
 }
 
-// InstancesOwner returns where the owner of the instances answers; false where it is this
-// entry, or none is known.
+// InstancesOwner returns the peer address of the owner of the instances; false if this entry is
+// the owner or none is known.
 func (k *Keeper) InstancesOwner() (netip.AddrPort, bool) {
 	k.mu.Lock()
 	_, mine := k.held[partInstances]
@@ -54,8 +54,8 @@
 	return k.Owner(partInstances)
 }
 
-// WriteAge returns how long ago the duty of a service last wrote; false where
-// this entry does not own it.
+// WriteAge returns the time since the duty of a service sent its last applied transaction;
+// false if this entry does not own the service.
 func (k *Keeper) WriteAge(service string) (time.Duration, bool) {
 	k.mu.Lock()
 	h, found := k.held[service]
@@ -66,8 +66,8 @@
 	return h.tenure.age(), true
 }
 
-// TurnedAway returns for how long the store has turned away the duty of a service; 0 where
-// it does not, or this entry does not own it.
+// TurnedAway returns for how long the store has rejected all writes of the duty of a service.
+// It is 0 if the last write was not rejected or this entry does not own the service.
 func (k *Keeper) TurnedAway(service string) time.Duration {
 	k.mu.Lock()
 	h, found := k.held[service]
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -9,55 +9,57 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// takeInMost is how long jobs that are handed in may wait for the loop of the duty to
-// take them in: it reads its rows first, which takes some 0.2 s with two thousand
-// jobs. What it has not taken in by then is refused, so that callers hear it while
-// they can still go elsewhere.
+// maxSubmitWait is how long submitted jobs may wait for the loop of the duty to handle them.
+// The loop first loads its rows, which takes about 0.2 s with 2000 jobs. A submission that
+// is not handled in time fails with a *NotServingError, so that callers can still try another
+// entry.
 const takeInMost = time.Second
 
-// The stages of jobs that are handed in.
+// Stages of a submission.
 const (
 	stageWaiting int32 = iota
 
-	// stageEntered means that the loop has taken them in.
+	// stageHandled means that the loop has started to handle the submission.
 	stageEntered
 
-	// stageWithdrawn means that the loop is not to take them in any more.
+	// stageWithdrawn means that the loop must no longer handle the submission.
 	stageWithdrawn
 )
 
-// NotServingError reports that a duty certainly did not take a job, because it hands
-// its service over, or has ended, or has not come to it. Another owner may take it.
+// NotServingError reports that a duty did not accept a job, because it is handing over its
+// service, has ended, or did not handle the submission in time. The job certainly has no
+// effect there; another owner may accept it.
 type NotServingError struct {
 	Service string
 	Reason  string
 }
 
-// TurnedAwayError reports that a service has too much to do for a job to be of use. The
-// job was not taken, and no earlier try to hand it in has an effect any more.
+// RefusedError reports that a service is too busy to finish a job while it still has value.
+// The job was not accepted, and no earlier attempt to submit it can take effect any more.
 type TurnedAwayError struct {
 	Service string
 
-	// ComeBack is after how long the job may be handed in again.
+	// RetryAfter is how long to wait before submitting the job again.
 	ComeBack time.Duration
 }
 
-// submission is jobs that are handed in together.
+// submission is a group of jobs that are submitted together.
 type submission struct {
 	records []shard.Record
 
-	// stage only ever leaves stageWaiting.
+	// stage changes at most once, from stageWaiting to one of the other stages.
 	stage atomic.Int32
 
-	// outcomes receives one outcome for each record at the most, and has room for all.
+	// outcomes receives at most one outcome per record; its buffer holds all of them.
 	outcomes chan outcome
 
-	// errs and answered are by the record's index; only those who wait touch them.
+	// errs and answered are indexed like records. Only the goroutine that waits for the
+	// outcomes uses them.
 	errs     []error
 	answered []bool
 }
 
-// outcome is what became of one record of a submission.
+// outcome is the result for one record of a submission; err is nil if the job was accepted.
 type outcome struct {
 	index int
 	err   error
@@ -70,18 +72,18 @@
 
 // Error implements error.
 func (e *TurnedAwayError) Error() string {
-	return "service " + e.Service + " has too much to do for the job; it may be handed in again in " + e.ComeBack.String()
+	return "service " + e.Service + " has too much to do for the job; retry after " + e.ComeBack.String()
 }
 
-// Submit is SubmitAll for one job.
+// Submit submits a single job; see SubmitAll.
 func (d *Duty) Submit(ctx context.Context, record shard.Record) error {
 	return d.SubmitAll(ctx, []shard.Record{record})[0]
 }
 
-// SubmitAll takes in jobs that are handed in at this owner, also while it still reads
-// its rows, and returns what became of each: nil once its record stands, a
-// *outside.NotDoneError or a *NotServingError where it certainly was not taken; any
-// other error leaves that open.
+// SubmitAll submits jobs to this owner, which may still be loading its rows, and returns one
+// result per job: nil once its record is stored, and a *outside.NotDoneError, a
+// *NotServingError or a *RefusedError if it certainly was not accepted. After any other error
+// the job may or may not have been accepted.
 func (d *Duty) SubmitAll(ctx context.Context, records []shard.Record) []error {
 	sub := &submission{
 		records:  records,
@@ -92,7 +94,7 @@
 	err := d.push(func(d *Duty, now time.Time) { d.enter(sub, now) })
 	if err != nil {
 		return sub.rest(&outside.NotDoneError{
-			Call:   "handing in at the owner of " + d.service,
+			Call:   "submitting to the owner of " + d.service,
 			Reason: err.Error(),
 		})
 	}
@@ -104,7 +106,7 @@
 			missing--
 		case <-late:
 			if sub.withdraw() {
-				return sub.rest(d.notServing("it has not come to it"))
+				return sub.rest(d.notServing("the submission was not handled"))
 			}
 		case <-d.over:
 			return d.left(sub, &LostError{
@@ -118,21 +120,22 @@
 	return sub.errs
 }
 
-// enter takes the jobs of a submission into the shard, unless they were withdrawn.
+// handleSubmission passes the jobs of a submission to the shard, unless the submission was
+// withdrawn.
 func (d *Duty) enter(sub *submission, now time.Time) {
 	if !sub.stage.CompareAndSwap(stageWaiting, stageEntered) {
 		return
 	}
 	for i, record := range sub.records {
 		refused := &outside.NotDoneError{
-			Call:   "handing in at the owner of " + d.service,
-			Reason: "it writes nothing now",
+			Call:   "submitting to the owner of " + d.service,
+			Reason: "writes to the store are failing",
 		}
 		switch {
 		case d.releasing:
 			sub.outcomes <- outcome{
 				index: i,
-				err:   d.notServing("it hands the service over"),
+				err:   d.notServing("it is handing over the service"),
 			}
 		case d.tenure.failing() && !d.standby.usable():
 			sub.outcomes <- outcome{
@@ -162,18 +165,19 @@
 	}
 }
 
-// left returns what became of jobs whose duty has ended, or whose caller waits no
-// longer. What the loop has not taken in, it never will.
+// stopWaiting returns the results of a submission when the duty has ended or the caller no
+// longer waits. It withdraws the submission if the loop has not handled it yet; otherwise jobs
+// without an outcome are uncertain.
 func (d *Duty) left(sub *submission, cause error) []error {
 	if sub.withdraw() {
-		return sub.rest(d.notServing("it has not come to it"))
+		return sub.rest(d.notServing("the submission was not handled"))
 	}
-	// An outcome that is in may have been there before the duty ended.
+	// Outcomes may have been sent before the duty ended.
 	for len(sub.outcomes) > 0 {
 		sub.note(<-sub.outcomes)
 	}
 	return sub.rest(&outside.UncertainError{
-		Call:  "handing in at the owner of " + d.service,
+		Call:  "submitting to the owner of " + d.service,
 		Cause: cause,
 	})
 }
@@ -185,16 +189,16 @@
 	}
 }
 
-// end lets go of everybody who waits for the duty. The jobs that no transaction holds
-// were certainly not taken.
+// end answers all submissions that still wait when the duty ends. Jobs that are not part of a
+// transaction were certainly not accepted.
 func (d *Duty) end() {
 	d.ended = true
 	d.core.RefuseSubmitted()
 	close(d.over)
 }
 
-// Held returns the duty of a service that this entry owns, also while it still reads
-// its rows: jobs may be handed in there and wait, but nothing can be asked of it yet.
+// Held returns the duty of a service that this entry owns, including one that is still loading
+// its rows. Such a duty queues submitted jobs but can't answer queries yet; see Duty.
 func (k *Keeper) Held(service string) (*Duty, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -202,13 +206,13 @@
 	return h.duty, found && h.duty != nil
 }
 
-// note takes in an outcome.
+// addOutcome stores the outcome of one record.
 func (s *submission) note(o outcome) {
 	s.errs[o.index] = o.err
 	s.answered[o.index] = true
 }
 
-// rest returns the outcomes, with the given one where there is none yet.
+// fillMissing sets err for every record without an outcome and returns the results of all.
 func (s *submission) rest(err error) []error {
 	for i, answered := range s.answered {
 		if !answered {
@@ -218,7 +222,8 @@
 	return s.errs
 }
 
-// withdraw keeps the loop from taking the jobs in; false where it has done so.
+// withdraw keeps the loop from handling the submission. It returns false if the loop has
+// already started to.
 func (s *submission) withdraw() bool {
 	return s.stage.CompareAndSwap(stageWaiting, stageWithdrawn)
 }
--- a/owner/successor.go
+++ b/owner/successor.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// strongShare is the share of the strongest entry's processor that makes an
-	// entry strong: the owner of a large service needs much of one.
+	// minCoresShare is the share of the largest entry's cores that an entry needs to be
+	// chosen as a successor: the owner of a large service needs much CPU time.
 	strongShare = 0.5
 
-	// listedWait bounds the reading of the list at a release, several times what it
-	// takes on a calm day. Callers wait while it is read.
+	// listTimeout bounds the read of the list of entries at a release, because callers wait
+	// meanwhile. It is several times what the read normally takes.
 	listedWait = 100 * time.Millisecond
 
-	// alonePause is the time between two readings while no other entry is listed, and
-	// aloneWait how long an owner waits for one: its services are better off with it
-	// than with nobody. An entry is back some 0.6 s after its last life has ended; the
-	// rest of the time to stop is for requests that are under way.
+	// memberPollInterval is the time between two reads of the list while no other entry is
+	// listed. maxMemberWait is how long a stopping owner waits for another entry, because
+	// its services are better served by it than by no owner. An entry is listed again about
+	// 0.6 s after its previous incarnation has ended. The rest of the time for stopping is
+	// left for requests that are in flight.
 	alonePause = 50 * time.Millisecond
 	aloneWait  = time.Second
 
-	// aloneShare is the most of the time for a release that goes into that wait: the
-	// release itself needs the rest.
+	// maxMemberWaitShare bounds the same wait, as a share of the time until the deadline of
+	// the release: the release itself needs the rest.
 	aloneShare = 0.5
 )
 
-// Retire has the keeper take no service any more; it keeps what it owns.
+// StopClaiming keeps the keeper from claiming further services. It still runs those it owns.
 func (k *Keeper) Retire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopping = true
 }
 
-// Release hands over every service and takes none any more.
+// Release hands over every service that this entry owns and claims no further ones. It returns
+// once all of them have been released.
 func (k *Keeper) Release(ctx context.Context, wait time.Duration) {
 	k.mu.Lock()
 	k.stopping = true
@@ -63,7 +65,7 @@
 	all.Wait()
 }
 
-// nameSuccessors chooses who is to take each of the parts.
+// chooseSuccessors chooses the next owner of each held part.
 func (k *Keeper) nameSuccessors(held map[string]holding, listed []Member) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -83,8 +85,8 @@
 	}
 }
 
-// awaitListed returns the entries that may succeed this one. Where there is none, it
-// waits for one, but not long: the others may be stopping as well.
+// awaitMembers returns the listed entries. If no other entry is listed, it waits for one, but
+// only briefly, because the other entries may be stopping as well.
 func (k *Keeper) awaitListed(ctx context.Context) []Member {
 	end := k.deps.Clock.Now().Add(aloneBound(ctx))
 	for {
@@ -98,20 +100,21 @@
 	}
 }
 
-// listed returns the entries that may succeed this one: as they stand in the table,
-// or as they were last seen.
+// listMembers returns the entries that are listed in the table, or those last seen if the
+// table can't be read.
 func (k *Keeper) listed(ctx context.Context) []Member {
 	bounded, cancel := context.WithTimeout(ctx, listedWait)
 	defer cancel()
 	list, err := k.deps.Listed(bounded)
 	if err != nil {
-		k.deps.Log.Info("list of entries not read", "error", err.Error())
+		k.deps.Log.Info("failed to read the list of entries", "error", err.Error())
 		return k.members()
 	}
 	return list
 }
 
-// holder returns the entry that owns a part, or is to own it; empty where none is.
+// ownerOrNext returns the entry that owns a part or, if the part was released, the entry that
+// it was released for. It is empty if there is none.
 func (o known) holder() string {
 	if o.Released {
 		return o.Next
@@ -119,20 +122,20 @@
 	return o.Owner
 }
 
-// wake has the keeper look at all parts at once.
+// wake makes the keeper check all parts immediately.
 func (k *Keeper) wake() {
 	select {
 	case k.named <- struct{}{}:
 	default:
-		// It is to look already.
+		// A check is already pending.
 	}
 }
 
-// Deal chooses a successor for each of the parts that the entry self gives up, of
-// total parts in all. owned counts what the other entries have; it is changed. It
-// chooses among strong entries with less than their share the one that was listed
-// last: where entries are restarted in turn, that one will be restarted last. It
-// returns nothing where no other entry is listed.
+// AssignSuccessors chooses a successor for each of the parts that the entry self releases, out
+// of total parts in all. owned counts the parts of the other entries and is updated. Among the
+// entries with enough cores and less than an equal share of the parts, it prefers the one that
+// was listed last: in a rolling restart, that entry is restarted last. It returns nil if no
+// other entry is listed.
 func Deal(listed []Member, self string, parts []string, total int, owned map[string]int) map[string]string {
 	strong := strongest(listed, self)
 	if len(strong) == 0 {
@@ -153,8 +156,8 @@
 	return next
 }
 
-// aloneBound returns for how long an owner waits for another entry, of the time that
-// it has for its release.
+// memberWait returns how long a stopping owner waits for another entry to be listed, given the
+// deadline of its release.
 func aloneBound(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
@@ -163,7 +166,8 @@
 	return min(aloneWait, time.Duration(aloneShare*float64(time.Until(deadline))))
 }
 
-// before reports whether a goes before b as a successor.
+// isPreferred reports whether a is a better successor than b. Entries that exceed the share
+// least come first, then those that were listed last.
 func before(a, b Member, share int, owned map[string]int) bool {
 	overA := max(0, owned[a.Incarnation]-share+1)
 	overB := max(0, owned[b.Incarnation]-share+1)
@@ -176,17 +180,18 @@
 	return a.Incarnation < b.Incarnation
 }
 
-// strongest returns the strong entries without self.
+// strongMembers returns the entries other than self with enough cores to own a large service;
+// see minCoresShare.
 func strongest(listed []Member, self string) []Member {
-	most := 0.0
+	maxCores := 0.0
 	for _, member := range listed {
 		if member.Incarnation != self {
-			most = max(most, member.Cores)
+			maxCores = max(maxCores, member.Cores)
 		}
 	}
 	var strong []Member
 	for _, member := range listed {
-		if member.Incarnation != self && member.Cores >= strongShare*most {
+		if member.Incarnation != self && member.Cores >= strongShare*maxCores {
 			strong = append(strong, member)
 		}
 	}
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// beatPause is the longest time between two transactions of an owner; its
-	// successors take over when they miss a few.
+	// beatInterval is the longest time between two transactions of an owner. Other entries
+	// take over when it misses a few.
 	beatPause = 500 * time.Millisecond
 
-	// commitRetry is the pause before a refused transaction is sent again.
+	// commitRetryInterval is the time before a failed transaction is sent again.
 	commitRetry = 60 * time.Millisecond
 
-	// failingAfter is how many tries in a row without success mean that the store
-	// takes nothing at the moment. Where it loses a third of its answers, one
-	// transaction in thirty meets that.
+	// minFailedWrites is how many attempts in a row must fail before the store counts as
+	// failing. If the store loses a third of its answers, this happens to one transaction
+	// in thirty.
 	failingAfter = 3
 )
 
-// tenureEntries is the most entries of a transaction that the tenure itself takes:
-// two conditions, the beat, and the owner's row at a release.
+// maxTenureEntries is how many entries of a transaction the tenure itself uses at most: two
+// checks, the heartbeat and, at a release, the owner's row.
 const tenureEntries = 4
 
-// ExistsError reports that a transaction was not applied, although the part is
-// still owned, because rows stood that it was to create.
+// ExistsError reports that a transaction was not applied because rows that it was to create
+// already exist. The part is still owned.
 type ExistsError struct {
 	Part string
 	Rows []outside.Row
 }
 
-// LostError reports that a tenure ended because another owner was seen or the
-// store could not be written for too long.
+// LostError reports that a tenure has ended because there is another owner, or because nothing
+// could be written to the store for too long.
 type LostError struct {
 	Part   string
 	Reason string
@@ -46,7 +46,7 @@
 
 // Error implements error.
 func (e *ExistsError) Error() string {
-	return fmt.Sprintf("part %s: %d rows stand already", e.Part, len(e.Rows))
+	return fmt.Sprintf("part %s: %d rows already exist", e.Part, len(e.Rows))
 }
 
 // Error implements error.
@@ -54,9 +54,9 @@
 	return e.Part + " is no longer owned: " + e.Reason
 }
 
-// tenure is the time for which this entry owns a part of the table. Every
-// transaction of it checks the owner's row and the row of the transaction
-// before, so that nothing of a deposed owner takes effect.
+// tenure is the period for which this entry owns a part of the table. Each of its transactions
+// checks the versions of the owner's row and of the heartbeat row that the previous transaction
+// wrote, so that no transaction of a replaced owner takes effect.
 type tenure struct {
 	table outside.Table
 	clock clock.Clock
@@ -64,25 +64,26 @@
 	part  string
 	epoch int64
 
-	// ownerVersion and beatVersion are what the next transaction checks.
+	// ownerVersion and beatVersion are the row versions that the next transaction checks;
+	// sequence is the number of the last transaction.
 	ownerVersion int64
 	beatVersion  int64
 	sequence     int64
 
-	// lastWrite is when the last transaction that was applied was sent; wrote
-	// is the same in milliseconds, for those who ask.
+	// lastWrite is when the last applied transaction was sent. lastWriteMillis is the same
+	// time in milliseconds, for reads by other goroutines.
 	lastWrite time.Time
 	wrote     atomic.Int64
 
-	// failures counts the tries without success since the last one with it.
+	// failures counts the failed attempts since the last answer from the store that was a
+	// success or a conflict.
 	failures atomic.Int64
 
-	// turnedAway is since when the store has turned away every try, in milliseconds; 0 where
-	// the last one had another outcome.
+	// rejectedSince is since when the store has rejected every attempt, in milliseconds; 0 if
+	// the last attempt had another outcome.
 	turnedAway atomic.Int64
 
-	// successor is the entry that the part is released for; nil before one was
-	// chosen.
+	// successor is the entry that the part is released for; nil until one is chosen.
 	successor atomic.Pointer[string]
 }
 
@@ -100,18 +101,18 @@
 	return t
 }
 
-// age returns how long ago the last transaction that was applied was sent.
+// age returns the time since the last applied transaction was sent.
 func (t *tenure) age() time.Duration {
 	return t.clock.Now().Sub(clock.FromMillis(t.wrote.Load()))
 }
 
-// failing reports whether the store takes nothing at the moment: single answers
-// may be lost.
+// failing reports whether the last attempts have all failed. Fewer than minFailedWrites don't
+// count, because single answers may be lost.
 func (t *tenure) failing() bool {
 	return t.failures.Load() >= failingAfter
 }
 
-// away returns for how long the store has turned away every try.
+// rejectedFor returns for how long the store has rejected every attempt.
 func (t *tenure) away() time.Duration {
 	since := t.turnedAway.Load()
 	if since == 0 {
@@ -120,7 +121,7 @@
 	return t.clock.Now().Sub(clock.FromMillis(since))
 }
 
-// noteOutcome notes whether the store turned a try away.
+// trackRejection updates rejectedSince from the result of an attempt.
 func (t *tenure) noteOutcome(err error) {
 	if outside.IsTurnedAway(err) {
 		t.turnedAway.CompareAndSwap(0, clock.Millis(t.clock.Now()))
@@ -129,24 +130,24 @@
 	t.turnedAway.Store(0)
 }
 
-// noteWrite notes that a transaction sent at the instant was applied.
+// recordWrite records the time at which an applied transaction was sent.
 func (t *tenure) noteWrite(sent time.Time) {
 	t.lastWrite = sent
 	t.wrote.Store(clock.Millis(sent))
 }
 
-// rowChanges are the rows of one transaction, besides those of the tenure.
+// rowChanges are the changes to rows in one transaction, besides the tenure's own rows.
 type rowChanges struct {
 	puts    []outside.Put
 	removes []outside.Key
 
-	// creates names the rows among puts that must not stand yet.
+	// creates holds the keys of puts whose rows must not exist yet.
 	creates []outside.Key
 }
 
-// transaction builds the next transaction. The beat carries what a successor has
-// to know; its epoch and sequence are filled in here. release says in it that the owner
-// gives no more orders.
+// transaction builds the next transaction. beat holds what the next owner needs to know; its
+// epoch and sequence are set here. With release, the transaction also gives up the part: the
+// owner sends no more orders.
 func (t *tenure) transaction(beat Beat, rows rowChanges, release bool) outside.Transaction {
 	t.sequence++
 	beat.Epoch = t.epoch
@@ -180,7 +181,7 @@
 	return tx
 }
 
-// released returns the owner's row that gives the part up.
+// releasedRow returns the owner's row that gives up the part.
 func (t *tenure) released() Ownership {
 	o := Ownership{
 		Epoch:    t.epoch,
@@ -192,11 +193,11 @@
 	return o
 }
 
-// write sends a transaction until its fate is known, and returns the version of
-// its rows. Every try carries the same conditions, so that it takes effect once
-// at the most; a conflict in which the beat already shows this transaction's
-// number is the success of an earlier try. A conflict about other rows only is an
-// *ExistsError.
+// write sends a transaction until its result is known, and returns the version of its rows.
+// Every attempt has the same checks, so the transaction takes effect at most once. A conflict in
+// which the heartbeat row already is that of this transaction means that an earlier attempt
+// succeeded. A conflict about other rows only is returned as an *ExistsError, a replaced owner
+// as a *LostError.
 func (t *tenure) write(ctx context.Context, tx outside.Transaction) (int64, error) {
 	for {
 		version, err := t.writeOnce(ctx, tx)
@@ -209,9 +210,8 @@
 	}
 }
 
-// writeOrGiveUp is write for a transaction that may be made anew: it returns a
-// *outside.NotDoneError where the store takes nothing and no try can have had an
-// effect.
+// writeOrGiveUp is like write, for a transaction that can be rebuilt later. It returns a
+// *outside.NotDoneError if the store is failing and no attempt can have taken effect.
 func (t *tenure) writeOrGiveUp(ctx context.Context, tx outside.Transaction) (int64, error) {
 	certain := true
 	for {
@@ -229,8 +229,8 @@
 	}
 }
 
-// isOpen reports whether a transaction has to be sent again for its fate to be
-// known.
+// needsRetry reports whether a transaction with this error has to be sent again, either because
+// it was not applied or because its result is not known.
 func isOpen(err error) bool {
 	return outside.IsNotDone(err) || outside.IsUncertain(err)
 }
@@ -251,7 +251,7 @@
 	t.failures.Add(1)
 	t.log.Warn("transaction without success", "part", t.part, "epoch", t.epoch, "error", err.Error())
 	if !isOpen(err) {
-		// An answer that can't be read says nothing of the transaction.
+		// An answer that can't be decoded does not tell whether the transaction was applied.
 		err = &outside.UncertainError{
 			Call:  "transaction",
 			Cause: err,
@@ -260,7 +260,8 @@
 	return 0, err
 }
 
-// conflicted tells what a conflict means for a transaction whose beat is want.
+// resolveConflict returns the result of a transaction that met a conflict; want is the
+// heartbeat that the transaction writes.
 func (t *tenure) conflicted(conflict *outside.ConflictError, want string) (int64, error) {
 	beat, _ := conflict.Find(beatKey(t.part))
 	if string(beat.Value) == want {
--- a/owner/waves.go
+++ b/owner/waves.go
@@ -12,7 +12,7 @@
 	"lemonstream.dev/lemonstream/pool"
 )
 
-// load reads how far the waves have come.
+// loadWaves reads the stored progress of all waves.
 func (f *fleet) load(ctx context.Context) error {
 	rows, _, err := f.deps.Table.ReadAll(ctx, tableWaves, partInstances)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// takeWaves takes in what the operator asks for.
+// updateWaves adds new waves that the operator has requested and updates known ones.
 func (f *fleet) takeWaves() {
 	now := f.deps.Clock.Now()
 	for _, wave := range f.deps.Waves.Waves() {
@@ -76,7 +76,8 @@
 	}
 }
 
-// completeWaves marks waves of which every instance that stays is done.
+// completeWaves marks the waves that are complete. It does nothing if the list of instances is
+// older than four list intervals.
 func (f *fleet) completeWaves() {
 	if f.deps.Clock.Now().Sub(f.listed) >= listPause*4 {
 		return
@@ -90,18 +91,18 @@
 	}
 }
 
-// write writes what changed, or the beat when it is due. The rows of the
-// operator's view stand in another part; they follow in a transaction of their
-// own.
+// write writes the waves that have changed, or only the heartbeat when that is due. It then
+// publishes the waves to the operator in separate transactions, because those rows belong to
+// another part.
 func (f *fleet) write(ctx context.Context, release bool) error {
 	now := f.deps.Clock.Now()
 	var puts []outside.Put
-	var shows []*waveState
+	var unpublished []*waveState
 	for number, state := range f.waves {
 		if state.Number == 0 || (state.written && state.shown) {
 			continue
 		}
-		shows = append(shows, state)
+		unpublished = append(unpublished, state)
 		if !state.written {
 			puts = append(puts, state.put(number))
 			state.written = true
@@ -112,12 +113,12 @@
 			return err
 		}
 	}
-	f.show(ctx, shows)
+	f.show(ctx, unpublished)
 	return nil
 }
 
-// confirm writes rows and the beat, which proves that this entry still owns the
-// instances.
+// confirmOwnership writes rows together with the heartbeat. If it succeeds, this entry still
+// owned the instances when the transaction was applied.
 func (f *fleet) confirm(ctx context.Context, puts []outside.Put, release bool) error {
 	now := f.deps.Clock.Now()
 	beat := Beat{
@@ -132,14 +133,14 @@
 		puts: puts,
 	}, release))
 	if err != nil {
-		return fmt.Errorf("writing the instances' tenure: %w", err)
+		return fmt.Errorf("writing the heartbeat of the instance controller: %w", err)
 	}
 	f.tenure.beatVersion = version
 	f.tenure.noteWrite(now)
 	return nil
 }
 
-// show tells the operator the state of waves.
+// publishWaves writes the state of waves to the operator's table.
 func (f *fleet) show(ctx context.Context, list []*waveState) {
 	for _, state := range list {
 		_, err := f.deps.Table.Transact(ctx, outside.Transaction{
@@ -149,7 +150,7 @@
 			}},
 		})
 		if err != nil {
-			f.deps.Log.Warn("state of a wave not shown", "wave", state.Number, "error", err.Error())
+			f.deps.Log.Warn("failed to publish the state of a wave", "wave", state.Number, "error", err.Error())
 			state.shown = false
 			continue
 		}
@@ -157,7 +158,7 @@
 	}
 }
 
-// put returns the row of a wave.
+// put returns the write of the wave's row.
 func (w *waveState) put(number int64) outside.Put {
 	row := waveRow{
 		SeenMillis: clock.Millis(w.Seen),
