--- a/owner/submit.go
+++ b/owner/submit.go
@@ -94,7 +94,7 @@
 	err := d.push(func(d *Duty, now time.Time) { d.enter(sub, now) })
 	if err != nil {
 		return sub.rest(&outside.NotDoneError{
-			Call:   "submitting to the owner of " + d.service,
+			Call:   "handing in at the owner of " + d.service,
 			Reason: err.Error(),
 		})
 	}
@@ -106,7 +106,7 @@
 			missing--
 		case <-late:
 			if sub.withdraw() {
-				return sub.rest(d.notServing("the submission was not handled"))
+				return sub.rest(d.notServing("it has not come to it"))
 			}
 		case <-d.over:
 			return d.left(sub, &LostError{
@@ -128,14 +128,14 @@
 	}
 	for i, record := range sub.records {
 		refused := &outside.NotDoneError{
-			Call:   "submitting to the owner of " + d.service,
-			Reason: "writes to the store are failing",
+			Call:   "handing in at the owner of " + d.service,
+			Reason: "it writes nothing now",
 		}
 		switch {
 		case d.releasing:
 			sub.outcomes <- outcome{
 				index: i,
-				err:   d.notServing("it is handing over the service"),
+				err:   d.notServing("it hands the service over"),
 			}
 		case d.tenure.failing() && !d.standby.usable():
 			sub.outcomes <- outcome{
@@ -170,14 +170,14 @@
 // without an outcome are uncertain.
 func (d *Duty) left(sub *submission, cause error) []error {
 	if sub.withdraw() {
-		return sub.rest(d.notServing("the submission was not handled"))
+		return sub.rest(d.notServing("it has not come to it"))
 	}
 	// Outcomes may have been sent before the duty ended.
 	for len(sub.outcomes) > 0 {
 		sub.note(<-sub.outcomes)
 	}
 	return sub.rest(&outside.UncertainError{
-		Call:  "submitting to the owner of " + d.service,
+		Call:  "handing in at the owner of " + d.service,
 		Cause: cause,
 	})
 }
