--- a/owner/backlog_test.go
+++ b/owner/backlog_test.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// thinLink is what a link of 2 Mbit/s carries in a second, in bytes; readWithin is
-	// how long a read may take.
+	// slowLinkBytes is how many bytes a link of 2 Mbit/s transfers per second. readTimeout is
+	// the timeout of a read.
 	thinLink   = 250_000
 	readWithin = 900 * time.Millisecond
 
-	// backlog is the jobs that wait, of some 1.5 kB each: 6 s of that link.
+	// backlog is the number of queued jobs. A job takes about 1.5 kB, so that reading all of
+	// them takes 6 s on that link.
 	backlog = 1000
 )
 
-// overThinLink returns a table whose reads take the time that their rows need on a thin
-// link, and get no answer where that is longer than a read may take.
+// withSlowLink returns a table whose reads take as long as the transfer of their rows over a
+// slow link. A read that takes longer than readTimeout fails without an answer.
 func overThinLink(table outside.Table) outside.Table {
 	read := table.Get
 	table.Get = func(ctx context.Context, name, part, from string, limit int) (outside.Page, error) {
@@ -48,10 +49,9 @@
 	return table
 }
 
-// TestOwnerWithALongBacklogServes replays a service whose jobs pile up while nobody owns
-// it, on entries with thin links: the first owner that takes it reads them all and keeps
-// the service meanwhile, although another entry stands by to take it from one that is
-// silent.
+// TestOwnerKeepsServiceWhileReadingLongBacklog has entries with slow links claim a service
+// whose jobs piled up while it had no owner. The first owner has to keep the service until it
+// has read all jobs, although another entry would replace a silent owner.
 func TestOwnerWithALongBacklogServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -16,13 +16,13 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// claimedBeats holds the beats with which an entry has claimed a service.
+// claimedBeats records the heartbeat rows that an entry writes when it claims a service.
 type claimedBeats struct {
 	mu   sync.Mutex
 	list []owner.Beat
 }
 
-// table returns a table over the rows that notes the beats of claims.
+// table returns a table over the rows that records the heartbeat rows of claims.
 func (c *claimedBeats) table(t *testing.T, rows *standin.Rows) outside.Table {
 	t.Helper()
 	table := rows.Table()
@@ -39,17 +39,18 @@
 	return table
 }
 
-// first returns the beat of the first claim.
+// first returns the heartbeat row of the first claim.
 func (c *claimedBeats) first() owner.Beat {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.list[0]
 }
 
-// TestClaimsSayForHowLongAnOwnerBeforeMayLive lets an owner go on living without the store.
-// Its successor says so from its claim on, and the one after that passes on what is left.
+// TestClaimRecordsUnobservedTime lets an owner keep running without access to the store. The
+// claim of the next owner has to record for how long runs of the first one may be unobserved,
+// and the claim of the third owner has to carry the remaining time over.
 func TestClaimsSayForHowLongAnOwnerBeforeMayLive(t *testing.T) {
-	const lease = time.Second // That of newEntryOn.
+	const lease = time.Second // The lease that newEntryOn sets.
 	is := is.New(t)
 	rows := standin.NewRows()
 	var away atomic.Bool
--- a/owner/fleet_chain_test.go
+++ b/owner/fleet_chain_test.go
@@ -14,13 +14,13 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// holderEpoch returns the epoch of whoever holds the instances.
+// controllerEpoch returns the epoch of the instance controller.
 func holderEpoch(t *testing.T, rows *standin.Rows) int64 {
 	t.Helper()
 	return epochOf(t, rows, "/instances")
 }
 
-// epochOf returns the epoch of whoever owns a part.
+// epochOf returns the epoch of the owner of a partition.
 func epochOf(t *testing.T, rows *standin.Rows, part string) int64 {
 	t.Helper()
 	row, err := rows.Table().Row(context.Background(), outside.Key{
@@ -40,9 +40,9 @@
 	return o.Epoch
 }
 
-// TestOrderedInstancesAreLeftAloneOverAQuickSecondTakeover lets a holder that goes on
-// living lose the store in the middle of its orders. Its successor ends as soon as it has
-// claimed, and the one after that leaves alone what the first one ordered.
+// TestOrderedInstancesStayBlockedAfterTwoTakeovers lets an instance controller that keeps
+// running lose the store while it sends orders. The next controller ends as soon as it has
+// claimed, and the third one must not move the instances that the first one ordered.
 func TestOrderedInstancesAreLeftAloneOverAQuickSecondTakeover(t *testing.T) {
 	ends := map[string]func(second *entry){
 		"died": func(second *entry) { second.group.Stop() },
@@ -60,7 +60,7 @@
 			}
 			var away atomic.Bool
 			newEntryWith(t, "a", refusing(rows, &away), alive("a"), f.deps)
-			until(t, "the first holder gives orders", func() bool { return f.count("a") >= 2 })
+			until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
 			silent := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 				return owner.Pong{}, &outside.UncertainError{
 					Call: "ping",
@@ -69,7 +69,7 @@
 			first := holderEpoch(t, rows)
 			second := newEntryWith(t, "b", rows.Table(), silent, f.deps)
 			away.Store(true)
-			until(t, "the second holder has claimed", func() bool { return holderEpoch(t, rows) > first })
+			until(t, "the second controller has claimed", func() bool { return holderEpoch(t, rows) > first })
 			end(second)
 			dead := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 				return owner.Pong{}, &outside.NotDoneError{
@@ -77,19 +77,19 @@
 				}
 			}
 			newEntryWith(t, "c", rows.Table(), dead, f.deps)
-			until(t, "the third holder gives orders", func() bool { return f.count("c") >= 2 })
+			until(t, "the third controller sends orders", func() bool { return f.count("c") >= 2 })
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for instance := range f.moved["c"] {
-				is.True(!f.moved["a"][instance]) // The first holder may still order it about.
+				is.True(!f.moved["a"][instance]) // The first controller may still send orders for it.
 			}
 		})
 	}
 }
 
-// TestHolderOrdersNothingByTheLoadOfAnOwnerThatWasSucceeded lets the holder of the instances ask
-// an owner that has been succeeded and does not know it: what that told of its workers holds no
-// more.
+// TestControllerIgnoresLoadOfReplacedOwner has the instance controller request the load from
+// an owner that has been replaced and does not know it yet. The load that this owner reports
+// is outdated.
 func TestHolderOrdersNothingByTheLoadOfAnOwnerThatWasSucceeded(t *testing.T) {
 	for name, behind := range map[string]int64{
 		"owner":     0,
@@ -105,16 +105,16 @@
 			}
 			newEntryWith(t, "a", rows.Table(), alive("a"), f.deps)
 			if behind == 0 {
-				until(t, "the holder gives orders", func() bool { return f.count("a") >= 2 })
+				until(t, "the controller sends orders", func() bool { return f.count("a") >= 2 })
 				return
 			}
-			until(t, "the holder has asked for loads", func() bool { return f.asked.Load() >= 20 })
+			until(t, "the controller has requested loads", func() bool { return f.asked.Load() >= 20 })
 			is.Equal(f.count("a"), 0)
 		})
 	}
 }
 
-// own writes the row of an owner of the service whose instances are awake.
+// writeOwner writes an owner row for the service that is not asleep.
 func own(t *testing.T, rows *standin.Rows, epoch int64) {
 	t.Helper()
 	value, err := cbor.Marshal(owner.Ownership{
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -24,22 +24,22 @@
 	awake      = "s"
 	sleeping   = "z"
 	fleetSize  = 24
-	fleetOrder = 5 // orders a second: one a round
+	fleetOrder = 5 // orders per second, that is one per round
 )
 
-// idleBorn is when the workers of these instances began.
+// idleBorn is the start time of the workers of the idle instances.
 var idleBorn = time.UnixMilli(1_776_052_010_123)
 
-// fleetOfIdle is a service with many idle instances whose moves never take effect,
-// as if each order were still under way.
+// idleFleet is a service with many idle instances. Moves never take effect, as if each order
+// were still in progress.
 type fleetOfIdle struct {
 	mu sync.Mutex
 
-	// moved holds, by holder, the instances that it ordered to move.
+	// moved holds the instances that each controller ordered to move, by controller.
 	moved map[string]map[string]bool
 
-	// fence returns that of the owner that tells the loads, nil for none; asked counts the
-	// questions for them.
+	// fence returns the fencing token of the owner that reports the loads; nil means none.
+	// loadRequests counts the requests for loads.
 	fence func() int64
 	asked atomic.Int64
 }
@@ -77,8 +77,8 @@
 	return len(f.moved[holder])
 }
 
-// loads says that nothing runs on any worker and that those that should be closed
-// are.
+// loads reports that no worker runs anything and that all workers of the directive are
+// closed.
 func (f *fleetOfIdle) loads(_ context.Context, service string, told owner.Directive) (shard.Load, error) {
 	f.asked.Add(1)
 	load := shard.Load{
@@ -105,7 +105,7 @@
 	return load, nil
 }
 
-// deps turns those of an entry into those of one that may own the instances.
+// deps changes the dependencies of an entry so that it may become the instance controller.
 func (f *fleetOfIdle) deps(deps owner.Deps, name string) owner.Deps {
 	deps.Holder = name
 	deps.Instances = outside.Instances{
@@ -137,8 +137,8 @@
 	return deps
 }
 
-// TestSuccessorLeavesOrderedInstancesAlone lets a holder that goes on living lose
-// the store in the middle of its orders.
+// TestNextControllerSkipsOrderedInstances lets an instance controller that keeps running lose
+// the store while it sends orders. Later controllers must not move the same instances.
 func TestSuccessorLeavesOrderedInstancesAlone(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -147,7 +147,7 @@
 	}
 	var away, awayToo atomic.Bool
 	newEntryWith(t, "a", refusing(rows, &away), alive("a"), f.deps)
-	until(t, "the first holder gives orders", func() bool { return f.count("a") >= 2 })
+	until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
 	silent := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.UncertainError{
 			Call: "ping",
@@ -155,10 +155,10 @@
 	}
 	newEntryWith(t, "b", refusing(rows, &awayToo), silent, f.deps)
 	away.Store(true)
-	until(t, "the second holder gives orders", func() bool { return f.count("b") >= 2 })
+	until(t, "the second controller sends orders", func() bool { return f.count("b") >= 2 })
 	newEntryWith(t, "c", rows.Table(), silent, f.deps)
 	awayToo.Store(true)
-	until(t, "the third holder gives orders", func() bool { return f.count("c") >= 2 })
+	until(t, "the third controller sends orders", func() bool { return f.count("c") >= 2 })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for instance := range f.moved["b"] {
@@ -170,9 +170,9 @@
 	}
 }
 
-// Orders were bounded by what the platform takes in the shortest pause between two rounds. On a
-// fleet of thousands a round takes several times that, most of it for the list of instances, and
-// pools that had to shrink by thousands of instances did so at a third of the rate.
+// TestLongRoundsAllowMoreOrders guards against a limit on orders that assumes the shortest
+// interval between two rounds. With thousands of instances a round takes several times that,
+// mostly to list the instances, and pools shrank at a third of the possible rate.
 func TestOrdersFollowTheTimeThatARoundTakes(t *testing.T) {
 	f := &fleetOfIdle{
 		moved: make(map[string]map[string]bool),
@@ -199,16 +199,16 @@
 		}
 		return deps
 	})
-	// The platform takes five a second, one of them in the shortest round.
-	until(t, "a long round gives several orders", func() bool {
+	// The platform accepts five orders per second, which is one in the shortest round.
+	until(t, "a long round sends several orders", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return most >= fleetOrder-1
 	})
 }
 
-// TestOrdersFitIntoTheBeat bounds how many instances are ordered before their row would be too
-// large for the store.
+// TestOrdersAreLimitedByRowSize checks that the number of open orders is limited so that their
+// row does not become too large for the store.
 func TestOrdersFitIntoTheBeat(t *testing.T) {
 	is := is.New(t)
 	f := &fleetOfIdle{
@@ -220,7 +220,7 @@
 		deps.Site.InstanceCalls = 100
 		return deps
 	})
-	until(t, "the holder gives orders", func() bool { return f.count("a") >= 10 })
+	until(t, "the controller sends orders", func() bool { return f.count("a") >= 10 })
 	time.Sleep(time.Second)
-	is.Equal(f.count("a"), 10) // Half of a row, and its pause is an hour here.
+	is.Equal(f.count("a"), 10) // They fill half of a row, and HolderPause is an hour here.
 }
--- a/owner/follow_test.go
+++ b/owner/follow_test.go
@@ -14,8 +14,8 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// TestFollowerComesBackLessAndLessOften covers a store above its rates: what
-// several hundred entries ask again at once keeps it there.
+// TestFollowerBacksOff covers a store whose rate limits are exceeded. If several hundred
+// entries retried at once, the store would stay above its limits.
 func TestFollowerComesBackLessAndLessOften(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -37,5 +37,5 @@
 		},
 	}.Run(ctx)
 	is.Equal(len(at), 6)
-	is.True(at[5].Sub(at[4]) > 450*time.Millisecond) // By then the pause is at its most.
+	is.True(at[5].Sub(at[4]) > 450*time.Millisecond) // By then the backoff has reached its maximum.
 }
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// endlessLease is so long that whoever waits for it waits in vain here.
+	// endlessLease is longer than any test: a test that waits for its end fails.
 	endlessLease = time.Hour
 
-	// glanceWait is how long a fake worker lets a look wait.
+	// pollWait is how long a fake worker delays its answer to a poll.
 	glanceWait = 20 * time.Millisecond
 
 	tableListed = "listed"
 	tableUsed   = "used"
 )
 
-// accept writes the record of a job with a lasting task, as an entry does that
-// reaches no owner.
+// writeLongRunningJob writes the record of a job with a long-running task, as an entry does
+// that cannot reach an owner.
 func accept(rows *standin.Rows, id string) {
 	one := record(id)
 	one.Spec.Steps[0].Lasting = true
 	rows.Write(owner.IntakeKey("s", id), one.Encode())
 }
 
-// isUsed reports whether rows name all of the workers as ones that may run
-// something.
+// isUsed reports whether each of the workers has a row in tableUsed, which marks workers
+// that may run tasks.
 func isUsed(t *testing.T, rows *standin.Rows, ids ...string) bool {
 	t.Helper()
 	for _, id := range ids {
@@ -58,8 +58,8 @@
 	return true
 }
 
-// succeed lets several entries in a row take the service, start a job that waits,
-// and release it.
+// changeOwners has three entries, one after another, claim the service and start a queued
+// job. Each one releases the service to the next.
 func succeed(t *testing.T, rows *standin.Rows, h *hands, last *entry) {
 	t.Helper()
 	for i := range 3 {
@@ -72,8 +72,9 @@
 	}
 }
 
-// TestReleaseHandsOverThatAWorkerRunsNothing lets the instance of an empty worker be
-// taken just before its service is released: no successor can reach the worker.
+// TestReleaseHandsOverIdleWorkers takes the instance of an idle worker down just before its
+// service is released, so that no next owner can reach the worker. The handover has to tell
+// the next owners that the worker runs nothing.
 func TestReleaseHandsOverThatAWorkerRunsNothing(t *testing.T) {
 	rows := standin.NewRows()
 	h := newHands(rows, "w0", "w1")
@@ -83,8 +84,9 @@
 	succeed(t, rows, h, first)
 }
 
-// TestReleaseHandsOverWhatASilentWorkerMayRun lets a worker go silent with a task:
-// that task waits for as long as it may run there, and no other does.
+// TestReleaseHandsOverTasksOfSilentWorker lets a worker become unreachable while it runs a
+// task. That task must not be started again while it may still run there, and no other task
+// may have to wait for the worker.
 func TestReleaseHandsOverWhatASilentWorkerMayRun(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -98,8 +100,8 @@
 	is.Equal(h.startsOf("held"), 1) // It may still run on the silent worker.
 }
 
-// TestBeatWithoutNewFieldsMeansWhatItMeant reads rows as they were written before
-// anything was handed over but which workers had lapsed.
+// TestBeatOfOlderVersionIsRead reads heartbeat rows of an older version, which handed over
+// nothing except the list of idle workers.
 func TestBeatWithoutNewFieldsMeansWhatItMeant(t *testing.T) {
 	type oldBeat struct {
 		Epoch    int64    `cbor:"1,keyasint"`
@@ -137,13 +139,13 @@
 				until(t, "the job is started", func() bool { return h.startsOf("waiting") == 1 })
 				return
 			}
-			until(t, "the other worker is looked at", func() bool { return h.looksAt("w1") >= 10 })
+			until(t, "the other worker is polled", func() bool { return h.looksAt("w1") >= 10 })
 			is.Equal(h.startsOf("waiting"), 0)
 		})
 	}
 }
 
-// write writes a row of the service.
+// write stores a row in the partition of the service.
 func write(t *testing.T, rows *standin.Rows, table, name string, value any) {
 	t.Helper()
 	body, err := cbor.Marshal(value)
@@ -157,12 +159,12 @@
 	}, body)
 }
 
-// endedMost is more jobs than the ends of which one transaction takes.
+// endedJobs is a number of jobs whose ends do not fit into one transaction.
 const endedMost = 120
 
-// TestReleaseWritesEveryEndFirst lets more ends be taken in than one transaction holds
-// while a release is asked for. Their worker can't be reached afterwards, so that only
-// rows can say that they have ended.
+// TestReleaseWritesEveryEndFirst requests a release while the owner has more ends to write
+// than fit into one transaction. The worker cannot be reached afterwards, so that the next
+// owner can learn of the ends from the stored rows only.
 func TestReleaseWritesEveryEndFirst(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -210,8 +212,9 @@
 	}
 }
 
-// TestReleaseNamesNoWorkerAsUsed lets a worker be listed while the last transaction
-// before the release is under way: nothing runs there, and nothing ever did.
+// TestReleaseDoesNotReportListedWorkerAsUsed registers a worker while the last transaction
+// before the release is in progress. Nothing ever ran on that worker, so that the next owner
+// must not wait for it.
 func TestReleaseNamesNoWorkerAsUsed(t *testing.T) {
 	rows := standin.NewRows()
 	var closed atomic.Bool
@@ -230,7 +233,7 @@
 	closed.Store(true)
 	until(t, "a transaction is under way", func() bool { return stopped.Load() == 1 })
 	h.list(rows, "w1")
-	until(t, "the new worker is looked at", func() bool { return h.looksAt("w1") >= 2 })
+	until(t, "the new worker is polled", func() bool { return h.looksAt("w1") >= 2 })
 	released := make(chan struct{})
 	go func() {
 		first.keeper.Release(context.Background(), patience)
@@ -246,9 +249,9 @@
 	until(t, "the job is started", func() bool { return h.startsOf("waiting") == 1 })
 }
 
-// TestClaimOfAStoppingEntryLosesNothingHandedOver lets an entry that has just claimed
-// the service be stopped before the answer to its claim: it never works, and the next
-// one has to find what the one before had handed over.
+// TestClaimOfStoppingEntryKeepsHandover stops an entry that has claimed the service before
+// the answer to its claim arrives. That entry never runs the service, and the next owner still
+// has to find the handover of the first one.
 func TestClaimOfAStoppingEntryLosesNothingHandedOver(t *testing.T) {
 	rows := standin.NewRows()
 	h := newHands(rows, "w0", "w1")
@@ -265,7 +268,7 @@
 		return receipt, err
 	}
 	second := newEntryWith(t, "second", table, alive("second"), h.deps)
-	until(t, "the claim stands", func() bool {
+	until(t, "the claim is stored", func() bool {
 		_, known := second.keeper.Owner("s")
 		return known
 	})
@@ -282,8 +285,8 @@
 	until(t, "the job is started", func() bool { return h.startsOf("waiting") == 1 })
 }
 
-// told is a fleet of idle instances that notes which workers each holder says to
-// have ended.
+// recordingFleet is an idleFleet that records which workers each instance controller reports
+// as ended.
 type told struct {
 	*fleetOfIdle
 
@@ -300,7 +303,7 @@
 	}
 }
 
-// list shows the instances that were ordered as under way.
+// list returns the instances; those with an order have the state InstanceMoving.
 func (f *told) list(ctx context.Context) ([]outside.Instance, error) {
 	list, err := f.fleetOfIdle.list(ctx)
 	f.fleetOfIdle.mu.Lock()
@@ -333,8 +336,8 @@
 	return deps
 }
 
-// hasTold reports whether a holder has said of the workers of all instances that
-// another one moved that they have ended.
+// hasReportedEnded reports whether the controller called name has reported as ended the
+// workers of all instances that the controller called moved has ordered to move.
 func (f *told) hasTold(name, moved string) bool {
 	f.fleetOfIdle.mu.Lock()
 	defer f.fleetOfIdle.mu.Unlock()
@@ -352,20 +355,20 @@
 	return len(f.moved[moved]) > 0
 }
 
-// TestSuccessorTellsOfInstancesThatTheOneBeforeTook lets a holder of the instances
-// hand over while the owners of services still have to hear of its last orders.
+// TestNextControllerReportsInstancesTakenBefore lets an instance controller hand over before
+// it has told the owners of services about its last orders.
 func TestSuccessorTellsOfInstancesThatTheOneBeforeTook(t *testing.T) {
 	rows := standin.NewRows()
 	f := newTold()
 	first := newEntryWith(t, "a", rows.Table(), alive("a"), f.deps)
-	until(t, "the first holder gives orders", func() bool { return f.count("a") >= 2 })
+	until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
 	first.keeper.Release(context.Background(), patience)
 	newEntryWith(t, "b", rows.Table(), alive("b"), f.deps)
-	until(t, "the second holder tells of them", func() bool { return f.hasTold("b", "a") })
+	until(t, "the second controller reports them", func() bool { return f.hasTold("b", "a") })
 }
 
-// TestNewOwnerReadsWhichInstancesWereTaken lets the entry that owns a service and
-// the instances die after it took the instance of a worker.
+// TestNewOwnerRestoresTakenInstances stops an entry that is both the owner of a service and
+// the instance controller after it has taken the instance of a worker.
 func TestNewOwnerReadsWhichInstancesWereTaken(t *testing.T) {
 	rows := standin.NewRows()
 	f := newTold()
--- a/owner/hands_test.go
+++ b/owner/hands_test.go
@@ -14,20 +14,20 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// hands are workers of the service that run what they are told for good.
+// fakeWorkers are workers of the service. Their runs do not end unless finish is called.
 type hands struct {
 	mu    sync.Mutex
 	start time.Time
 
-	// down holds the workers that refuse connections; runs what runs at each.
+	// down holds the workers that refuse connections. runs holds the runs of each worker.
 	down map[string]bool
 	runs map[string]map[job.TaskID]int64
 
-	// ends are the ends that each worker lists; looks counts the answered ones.
+	// ends holds the ends that each worker lists. polls counts the polls of each worker.
 	ends  map[string][]outside.End
 	looks map[string]int
 
-	// started counts the starts of each job, stopped the stops.
+	// started counts the task starts of each job, stopped the task stops.
 	started map[string]int
 	stopped map[string]int
 }
@@ -48,7 +48,7 @@
 	return h
 }
 
-// list lets a worker come.
+// register lists a worker.
 func (h *hands) list(rows *standin.Rows, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +59,7 @@
 	}, []byte(id))
 }
 
-// finish ends all that runs at a worker well.
+// finish ends all runs of a worker successfully and resets its poll counter.
 func (h *hands) finish(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,14 +75,14 @@
 	h.looks[id] = 0
 }
 
-// looksAt returns how many looks at a worker were answered since it was finished.
+// pollsOf returns the number of polls of a worker since the last call of finish for it.
 func (h *hands) looksAt(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.looks[id]
 }
 
-// cutOff makes a worker refuse connections, whatever runs there.
+// cutOff makes a worker refuse connections. Its runs go on.
 func (h *hands) cutOff(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +103,7 @@
 	return h.stopped[id]
 }
 
-// holder returns the worker that runs a task of a job, or nothing.
+// workerOf returns the ID of the worker that runs a task of a job, or "".
 func (h *hands) holder(id string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -174,7 +174,7 @@
 	return time.Since(h.start), nil
 }
 
-// deps turns those of an entry into those of one that works with these workers.
+// deps changes the dependencies of an entry so that it uses these workers.
 func (h *hands) deps(deps owner.Deps, _ string) owner.Deps {
 	deps.Workers = outside.Workers{
 		Hold:  h.hold,
--- a/owner/intake_test.go
+++ b/owner/intake_test.go
@@ -16,8 +16,8 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// startedElsewhere lets an entry write the record of a job and an owner before start its task on
-// a worker.
+// writeStartedJob writes the record of a job as an entry does, and adds a run of the job's
+// task to a worker as if a previous owner had started it.
 func startedElsewhere(rows *standin.Rows, h *hands, worker, id string) {
 	accept(rows, id)
 	h.mu.Lock()
@@ -27,8 +27,9 @@
 	}] = 1
 }
 
-// TestOwnerLooksUpTheJobOfARunThatItFinds lists runs of jobs that the owner was not told of: one
-// whose record stands goes on, also where the first read fails, and one without is stopped.
+// TestOwnerLooksUpJobsOfUnknownRuns lists runs of jobs that the owner does not know. A run
+// whose job has a stored record goes on, also if the first read fails. A run without a record
+// is stopped.
 func TestOwnerLooksUpTheJobOfARunThatItFinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,7 +53,7 @@
 		away.Store(true)
 		startedElsewhere(rows, h, "w1", "b")
 		time.Sleep(3 * time.Second)
-		is.Equal(h.stopsOf("b"), 0) // No read has shown that its record is missing.
+		is.Equal(h.stopsOf("b"), 0) // No read has confirmed yet that the record is missing.
 		away.Store(false)
 		untilRuns(t, e, "b")
 
@@ -73,10 +74,10 @@
 	})
 }
 
-// untilRuns waits until the owner shows a job as running.
+// untilRuns waits until the owner reports a job as running.
 func untilRuns(t *testing.T, e *entry, id string) {
 	t.Helper()
-	until(t, "job "+id+" is shown as running", func() bool {
+	until(t, "job "+id+" is reported as running", func() bool {
 		duty, owns := e.keeper.Duty("s")
 		if !owns {
 			return false
