--- a/owner/withdrawal_test.go
+++ b/owner/cancellation_test.go
@@ -13,8 +13,8 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// TestCancellationOfAJobInTheStandbyPart lets an entry take a service of which a job
-// stands in the standby part, and its cancellation in the service's own.
+// TestCancellationOfStandbyJob lets an entry claim a service with a job that is stored in the
+// standby partition and whose cancellation is stored in the service's own partition.
 func TestCancellationOfAJobInTheStandbyPart(t *testing.T) {
 	rows := standin.NewRows()
 	first := newEntry(t, "a", rows, alive("a"))
@@ -27,8 +27,8 @@
 	untilCancelled(t, second, rows, "job")
 }
 
-// TestCancellationReadBeforeItsJob lets an owner miss the history of its rows, so that
-// it reads them all in the order of their keys: that of the cancellation comes first.
+// TestCancellationReadBeforeItsJob makes an owner lose the history of its rows, so that it reads
+// all of them in the order of their keys. The key of the cancellation comes first.
 func TestCancellationReadBeforeItsJob(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -41,18 +41,18 @@
 	untilCancelled(t, e, rows, "f")
 }
 
-// refused is a ping to an entry that has ended.
+// refusePing is the ping of an entry that has ended.
 func refused(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 	return owner.Pong{}, &outside.NotDoneError{
 		Call: "ping",
 	}
 }
 
-// untilCancelled waits until the owner shows a job as cancelled and the rows that made
-// it so are gone.
+// untilCancelled waits until the owner reports a job as cancelled and the rows of the job and
+// of its cancellation are removed.
 func untilCancelled(t *testing.T, e *entry, rows *standin.Rows, id string) {
 	t.Helper()
-	until(t, "the job is shown as cancelled and its rows are gone", func() bool {
+	until(t, "the job is reported as cancelled and its rows are removed", func() bool {
 		duty, owns := e.keeper.Duty("s")
 		if !owns {
 			return false
--- a/owner/keeper_test.go
+++ b/owner/keeper_test.go
@@ -24,8 +24,8 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// patience is a generous limit for conditions that come true in well under a
-// second on an idle instance.
+// waitTimeout is the longest time for which a test waits for a condition. On an idle instance
+// the conditions come true in well under a second.
 const patience = 20 * time.Second
 
 // lines counts log lines by their message.
@@ -61,7 +61,7 @@
 	return l.count[event]
 }
 
-// entry is a keeper over a table, with nothing but one service.
+// entry is a keeper whose catalog has a single service, with its goroutines and log counts.
 type entry struct {
 	keeper *owner.Keeper
 	group  *kernel.Group
@@ -73,13 +73,13 @@
 	return newEntryOn(t, name, rows.Table(), ping)
 }
 
-// newEntryOn returns an entry that reaches the store through a table of its own.
+// newEntryOn returns an entry that accesses the store through the given table.
 func newEntryOn(t *testing.T, name string, table outside.Table, ping func(context.Context, netip.AddrPort, string) (owner.Pong, error)) *entry {
 	t.Helper()
 	return newEntryWith(t, name, table, ping, func(deps owner.Deps, _ string) owner.Deps { return deps })
 }
 
-// newEntryWith returns an entry whose keeper works with changed dependencies.
+// newEntryWith returns an entry whose keeper has the dependencies that change returns.
 func newEntryWith(t *testing.T, name string, table outside.Table, ping func(context.Context, netip.AddrPort, string) (owner.Pong, error),
 	change func(deps owner.Deps, name string) owner.Deps,
 ) *entry {
@@ -138,7 +138,7 @@
 	}
 }
 
-// ownWord answers pings with what the entry itself knows.
+// answerPing returns a ping function that answers with the entry's own state.
 func (e *entry) ownWord(name string) func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 	return func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		age, owns := e.keeper.WriteAge("s")
@@ -151,8 +151,7 @@
 	}
 }
 
-// refusing returns a table over the rows that takes no transactions while away is
-// set.
+// rejecting returns a table over the rows that rejects all transactions while away is set.
 func refusing(rows *standin.Rows, away *atomic.Bool) outside.Table {
 	table := rows.Table()
 	write := table.Transact
@@ -175,7 +174,7 @@
 			return
 		}
 	}
-	t.Fatal("waited in vain until " + what)
+	t.Fatal("timed out waiting until " + what)
 }
 
 func (e *entry) owns() bool {
@@ -183,8 +182,8 @@
 	return owns
 }
 
-// TestSlowAnswerToClaimStartsOneDuty lets the row of the claim be seen well
-// before the answer to the claim.
+// TestSlowAnswerToClaimStartsOneDuty lets the entry read the row of its claim long before the
+// answer to the claim arrives.
 func TestSlowAnswerToClaimStartsOneDuty(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -200,7 +199,7 @@
 		_, known := e.keeper.Owner("s")
 		return known
 	})
-	// Several rounds of the keeper see a row that names this entry.
+	// Several rounds of the keeper read a row with this entry as owner.
 	time.Sleep(500 * time.Millisecond)
 	close(answered)
 	until(t, "the entry owns the service", e.owns)
@@ -237,13 +236,13 @@
 	}
 	second := newEntry(t, "b", rows, silent)
 	time.Sleep(3 * time.Second)
-	// The second entry is cut off from the first, which still writes.
+	// The second entry cannot reach the first one, which still writes its heartbeat.
 	is.True(first.owns())
 	is.True(!second.owns())
 }
 
-// TestOutageThatMeetsBothCostsNoOwner lets the store be away for an owner and its
-// successor: when it is back, the owner writes on.
+// TestOutageForAllKeepsOwner makes the store unavailable to an owner and to its next owner.
+// The owner keeps the service and writes again after the outage.
 func TestOutageThatMeetsBothCostsNoOwner(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -271,8 +270,8 @@
 	is.Equal(second.lines.of("service taken"), 0)
 }
 
-// TestOwnerThatWritesNothingIsSucceeded lets an owner answer well, and say itself
-// that the store turns it away.
+// TestOwnerWithoutWritesIsReplaced has an owner that answers pings, but reports in its answers
+// that the store rejects its writes.
 func TestOwnerThatWritesNothingIsSucceeded(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -286,9 +285,9 @@
 	until(t, "the second entry owns the service", second.owns)
 }
 
-// An owner that the store turned away while it served all others knew so at once. Its successor
-// waited until the owner had written nothing for two beats, and meanwhile nobody took the
-// service's jobs.
+// TestRejectedOwnerIsReplacedSoon covers an owner whose writes the store rejects while it
+// accepts those of all others. The owner detected this at once, but the next owner waited until
+// there had been no write for two heartbeats, and meanwhile the service accepted no jobs.
 func TestOwnerThatTheStoreTurnsAwayIsSucceededSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -305,8 +304,8 @@
 	})
 }
 
-// TestSuccessorForgetsOldSuspicion lets an entry lose a service to an owner that
-// it once found silent, and that is well now.
+// TestKeeperForgetsOldPingFailures lets an entry lose its service to an owner whose pings
+// failed earlier, but succeed now. The earlier failures must not count against that owner.
 func TestSuccessorForgetsOldSuspicion(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -348,9 +347,9 @@
 	until(t, "the second entry owns the service", second.owns)
 }
 
-// TestServiceStandsStillForSecondsOnly bounds the wait of a successor. The
-// platform asks for tasks to run some 7 s after a disruption; a frozen owner is
-// succeeded about 2 s after the freeze began, and one lasts 4 s or more.
+// TestUnobservedTimeIsShort limits how long a next owner waits for unobserved runs. The
+// platform requires that tasks run about 7 s after a disruption. A frozen owner is replaced
+// about 2 s after its freeze began, and a freeze lasts 4 s or more.
 func TestServiceStandsStillForSecondsOnly(t *testing.T) {
 	is := is.New(t)
 	const lease = 4 * time.Second
--- a/owner/quotas_test.go
+++ b/owner/quotas_test.go
@@ -20,12 +20,12 @@
 const (
 	organisation = "north"
 
-	// limitTasks is how many tasks of taskCPU the organisation may run on all services.
+	// limitTasks is how many tasks of taskCPU the organisation may run on all services together.
 	limitTasks = 10
 	taskCPU    = 1_000
 )
 
-// organised returns a configuration in which the organisation may run limitTasks.
+// limitedCatalog returns a catalog in which the organisation may run limitTasks tasks.
 func organised() *catalog.Catalog {
 	c := &catalog.Catalog{
 		Version: 1,
@@ -45,7 +45,7 @@
 	return c
 }
 
-// ledgerKey is where the organisation's ledger stands.
+// ledgerKey returns the key of the organisation's ledger.
 func ledgerKey() outside.Key {
 	return outside.Key{
 		Table: "quota",
@@ -77,7 +77,7 @@
 	return ledger
 }
 
-// ask writes the records of jobs of one lasting task each, which belong to the organisation.
+// writeJobs writes records of jobs of the organisation. Each has one long-running task.
 func ask(rows *standin.Rows, jobs int) {
 	for i := range jobs {
 		one := record(fmt.Sprintf("job-%d", i))
@@ -98,8 +98,9 @@
 	return count
 }
 
-// Each service counted for itself what it ran of an organisation, so that all of them together
-// ran several times its quota. A service starts what others have left of it, and no more.
+// TestServicesShareAnOrganisationsQuota guards against services that count the usage of an
+// organisation each for itself, so that all together run several times its quota. A service
+// may use only the share of the quota that the other services leave.
 func TestServicesShareAnOrganisationsQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,14 +121,14 @@
 			deps.Catalog = organised
 			return deps
 		})
-		until(t, "what the other service has left is used", func() bool { return h.running() == 4 })
+		until(t, "the share that the other service leaves is used", func() bool { return h.running() == 4 })
 		time.Sleep(2 * time.Second)
 		is.Equal(h.running(), 4)
 		ledger := readLedger(t, rows)
 		other.Share = quota.Whole / 10
 		ledger["other"] = other
 		writeLedger(rows, ledger)
-		until(t, "what the other service gives back is used", func() bool { return h.running() == 9 })
+		until(t, "the share that the other service returns is used", func() bool { return h.running() == 9 })
 		time.Sleep(2 * time.Second)
 		is.Equal(h.running(), 9)
 	})
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -24,7 +24,7 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// follower is a registry over rows, with the newest list that it told.
+// registryFixture is a registry over rows that records the newest list passed to its watcher.
 type follower struct {
 	rows   *standin.Rows
 	table  outside.Table
@@ -36,8 +36,8 @@
 	told int
 }
 
-// follow starts a registry whose rows hold the processor of a worker as text; anything
-// else is the row of another writer.
+// startRegistry starts a registry whose rows hold the CPU of a worker as a decimal number. Any
+// other value is the row of another writer.
 func follow(t *testing.T) *follower {
 	t.Helper()
 	f := &follower{
@@ -75,7 +75,7 @@
 	return f
 }
 
-// write puts a row and lets the registry follow.
+// write stores a row, or removes it if value is empty, and waits until the registry has read it.
 func (f *follower) write(worker, value string) {
 	key := outside.Key{
 		Table: "workers",
@@ -92,7 +92,7 @@
 	synctest.Wait()
 }
 
-// workers returns the list as text, in its order.
+// workers returns the newest list as sorted text.
 func (f *follower) workers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,10 +104,10 @@
 	return list
 }
 
-// TestListIsThatOfTheSoundRows writes any sequence of rows, sound ones, those of other
-// writers and none, over each other: the list is that of the keys whose newest row is
-// sound. The registration that stood before stayed in force where a row of another writer
-// came in its place.
+// TestListHoldsWorkersOfValidRows writes random sequences of valid rows, rows of other writers
+// and removals to the same keys. The list has to hold the workers whose newest row is valid.
+// It guards against a registration that stays in the list after a row of another writer has
+// replaced it.
 func TestListIsThatOfTheSoundRows(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestRoomThatChangesIsToldAtOnce covers a worker of which only the room changes. The
-// registry stored the row and told nobody until something else of the service changed, so
-// that tasks were started on a worker that had no room for them any more.
+// TestCapacityChangeIsNotifiedAtOnce covers a worker of which only the capacity changes. The
+// registry stored the row, but notified nobody until something else of the service changed, so
+// that tasks were started on a worker without capacity for them.
 func TestRoomThatChangesIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,13 +145,14 @@
 		is.Equal(f.workers(), []string{"w=4000"})
 		f.write("w", "1000")
 		is.Equal(f.workers(), []string{"w=1000"})
-		told := f.told
+		notifications := f.told
 		f.write("w", "1000")
-		is.Equal(f.told, told) // A heartbeat alone is no change.
+		is.Equal(f.told, notifications) // A heartbeat alone is no change.
 	})
 }
 
-// TestRowsOfAnotherWriterAreLoggedOnce lets another writer write a row again and again.
+// TestForeignRowIsLoggedOnce has another writer write the same row several times. The row is
+// logged once, and again after a valid row in between.
 func TestRowsOfAnotherWriterAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -164,13 +165,13 @@
 		f.write("x", "4000")
 		f.write("x", "asleep")
 		is.Equal(strings.Count(f.logged.String(), "registration left out"), 2)
-		is.True(!strings.Contains(f.logged.String(), "ERROR")) // It is no fault of this entry.
+		is.True(!strings.Contains(f.logged.String(), "ERROR")) // The entry itself works correctly.
 	})
 }
 
-// TestRowsOfAnotherWriterThatAreGoneAreForgotten lets another writer write and remove as many
-// rows as are remembered. Each was remembered for good, so that no row after them was logged,
-// and nothing told why a worker was not used.
+// TestRemovedForeignRowsAreForgotten has another writer write and remove as many rows as the
+// registry remembers. Rows were remembered forever, so that no later row was logged, and no log
+// line explained why a worker was not used.
 func TestRowsOfAnotherWriterThatAreGoneAreForgotten(t *testing.T) {
 	for name, forget := range map[string]func(f *follower){
 		"seen in changes": func(*follower) {},
--- a/owner/release_test.go
+++ b/owner/release_test.go
@@ -18,10 +18,9 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// TestJobsAtAReleaseStandOrAreRefusedForSure hands three thousand jobs in while an
-// owner hands its service over: many more than the transactions of a release hold. Each of
-// them stands, or is told that it certainly was not taken, so that it may go to the
-// next owner at once.
+// TestSubmitDuringRelease submits 3000 jobs while an owner releases its service. These are many
+// more than the transactions of a release hold. Each job has to be stored, or be refused with
+// an error that rules out a later write, so that it may be submitted to the next owner at once.
 func TestJobsAtAReleaseStandOrAreRefusedForSure(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -51,12 +50,12 @@
 			var left *owner.NotServingError
 			switch {
 			case err == nil && !stands(t, rows, id):
-				t.Errorf("job %s was taken and does not stand", id)
+				t.Errorf("job %s was accepted, but is not stored", id)
 			case err == nil:
 			case errors.As(err, &left):
 				refused.Add(1)
 				if stands(t, rows, id) {
-					t.Errorf("job %s was refused and stands", id)
+					t.Errorf("job %s was refused, but is stored", id)
 				}
 			default:
 				open.Add(1)
@@ -69,8 +68,8 @@
 	is.True(refused.Load() > 0)
 }
 
-// TestNothingIsWrittenAfterARelease counts the transactions that an owner sends once
-// the one that hands its service over stands: they can't take effect.
+// TestNothingIsWrittenAfterARelease counts the transactions that an owner sends after the
+// transaction that released its service. They could not take effect.
 func TestNothingIsWrittenAfterARelease(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -97,12 +96,13 @@
 	e.keeper.Release(ctx, patience)
 	until(t, "the service is released", over.Load)
 	until(t, "the duty has ended", func() bool { return !e.owns() })
-	e.group.Stop() // Everything that was sent has been counted.
+	e.group.Stop() // All transactions that were sent have been counted.
 	is.Equal(after.Load(), int64(0))
 }
 
-// TestJobWaitsWhileAnOwnerReadsItsRows hands a job in at an owner that has claimed and
-// still reads: it is taken once the rows are read, and not turned away before.
+// TestJobWaitsWhileAnOwnerReadsItsRows submits a job to an owner that has claimed its service
+// and still reads the rows. The job has to be accepted once they are read, and not be refused
+// before.
 func TestJobWaitsWhileAnOwnerReadsItsRows(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -136,8 +136,8 @@
 	is.True(stands(t, rows, "a"))
 }
 
-// TestJobThatAnOwnerDoesNotComeToIsRefusedForSure has an owner read its rows for
-// longer than a job waits for that.
+// TestJobIsRefusedWhenLoadingTakesTooLong has an owner that reads its rows for longer than a
+// submitted job waits. The jobs are refused and never written.
 func TestJobThatAnOwnerDoesNotComeToIsRefusedForSure(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -159,15 +159,15 @@
 	})
 	errs := duty.SubmitAll(context.Background(), []shard.Record{record("a"), record("b")})
 	close(reading)
-	until(t, "the owner takes jobs", func() bool { return duty.Submit(context.Background(), record("c")) == nil })
+	until(t, "the owner accepts jobs", func() bool { return duty.Submit(context.Background(), record("c")) == nil })
 	for i, id := range []string{"a", "b"} {
 		var left *owner.NotServingError
 		is.True(errors.As(errs[i], &left))
-		is.True(!stands(t, rows, id)) // What was refused is never written.
+		is.True(!stands(t, rows, id)) // A refused job is never written.
 	}
 }
 
-// released reports whether the value of an owner's row says that it is released.
+// released reports whether the value of an owner row marks its service as released.
 func released(value string) bool {
 	var o owner.Ownership
 	return cbor.Unmarshal([]byte(value), &o) == nil && o.Released
--- a/owner/rolling_test.go
+++ b/owner/rolling_test.go
@@ -29,24 +29,24 @@
 const (
 	rollingServices = 6
 
-	// rollingGap is the time between two stops of one series, and rollingDown the
-	// time for which an entry is down after its last goroutine ended.
+	// rollingGap is the time between two stops of one series. rollingDown is the time for which
+	// an entry is down after its last goroutine has ended.
 	rollingGap  = 430 * time.Millisecond
 	rollingDown = 500 * time.Millisecond
 
-	// rollingLinger is the time between an entry's release and its end.
+	// rollingLinger is the time from the moment an entry stops claiming to its release.
 	rollingLinger = 2500 * time.Millisecond
 
-	// rollingCall is what a call of the store takes.
+	// rollingCall is the duration of a call of the store.
 	rollingCall = 5 * time.Millisecond
 
-	// rollingPrompt is the longest time for which a service that is handed over may
-	// be without an owner: a change that is seen, and three calls.
+	// rollingPrompt is the longest time for which a service may be without an owner during a
+	// handover. It allows for reading the change and for three calls of the store.
 	rollingPrompt = 50 * time.Millisecond
 )
 
-// rolling is a site whose entries are restarted in turn. Time is the test's own, so
-// that its figures depend on the order of things and on pauses only.
+// rolling is a site whose entries are restarted in turn. It runs on simulated time, so that
+// the results depend on the order of events and on intervals only.
 type rolling struct {
 	rows *standin.Rows
 
@@ -56,12 +56,12 @@
 	peers map[netip.AddrPort]*process
 	lives int
 
-	// The first entries are strong.
+	// entries holds the current process of each entry. The first strong ones have more cores.
 	entries []*process
 	strong  int
 }
 
-// process is one life of an entry.
+// process is one incarnation of an entry.
 type process struct {
 	owner.Self
 
@@ -69,11 +69,11 @@
 	keeper *owner.Keeper
 	roster *roster.Roster
 
-	// stopping is set by the series that stops it, so that no other does.
+	// stopping is set by the series that stops the process, so that no other series does.
 	stopping bool
 }
 
-// change is one row of a service's owner, and when it was seen.
+// change is a change of a service's owner row and the time at which it was read.
 type change struct {
 	released bool
 	at       time.Time
@@ -84,8 +84,9 @@
 	service string
 	to      string
 
-	// released says that the owner before gave the service up; without is how long
-	// nobody owned it then.
+	// released reports whether the previous owner had released the service. withoutOwner is the
+	// time since the previous change of the owner row. After a release that is how long the
+	// service had no owner.
 	released bool
 	without  time.Duration
 }
@@ -109,7 +110,7 @@
 	return r
 }
 
-// start begins a life of the entry of the given number.
+// start starts a new process of the entry of the given number.
 func (r *rolling) start(number int) {
 	r.mu.Lock()
 	r.lives++
@@ -175,7 +176,7 @@
 	p.group.Go("registry", registry.Run)
 }
 
-// ping asks a process as its peers do; one that has ended refuses.
+// ping pings a process as its peers do. The ping fails if the process has ended.
 func (r *rolling) ping(_ context.Context, peer netip.AddrPort, service string) (owner.Pong, error) {
 	r.mu.Lock()
 	p, found := r.peers[peer]
@@ -226,7 +227,7 @@
 	}
 }
 
-// watch notes every handover until ctx ends.
+// watch returns all handovers until ctx is done.
 func (r *rolling) watch(ctx context.Context) []handover {
 	var list []handover
 	last := make(map[string]change)
@@ -240,7 +241,7 @@
 		for _, row := range page.Rows {
 			var o owner.Ownership
 			if cbor.Unmarshal(row.Value, &o) != nil || (o.Owner == "" && !o.Released) {
-				continue // The standby parts name no owner.
+				continue // The owner rows of standby partitions have no owner.
 			}
 			before, found := last[row.Key.Part]
 			if found && !o.Released {
@@ -260,7 +261,7 @@
 	return list
 }
 
-// roll restarts all entries in so many series that overlap, and returns the
+// roll restarts all entries in the given number of overlapping series and returns the
 // handovers.
 func roll(t *testing.T, seed uint64, entries, strong, series int) []handover {
 	var list []handover
@@ -269,7 +270,7 @@
 		r := newRolling(entries, strong)
 		for _, number := range random.Perm(entries) {
 			r.start(number)
-			time.Sleep(rollingCall) // The list is the same in each run.
+			time.Sleep(rollingCall) // Keeps the member list the same in each run.
 		}
 		// All entries have joined, and each service has an owner.
 		time.Sleep(10 * time.Second)
@@ -294,13 +295,13 @@
 	return list
 }
 
-// tally sums up handovers.
+// tally holds the totals of a list of handovers.
 type tally struct {
 	moves int
 
-	// late counts the handovers that left a service without an owner for longer
-	// than rollingPrompt, weak those to an entry that is not strong, and lost those
-	// from an owner that had not given the service up.
+	// late counts the handovers that left a service without an owner for longer than
+	// rollingPrompt. weak counts the handovers to an entry that is not strong. lost counts those
+	// from an owner that had not released the service.
 	late int
 	weak int
 	lost int
@@ -330,46 +331,46 @@
 	return s
 }
 
-// TestRollingRestartHandsOverPromptly restarts all entries of a site in one series
-// and in two that overlap. An entry that was named may stop before it claims; that
-// costs the pause after which others claim. On the small site all entries are stopping
-// or down for a while.
+// TestRollingRestartHandsOverPromptly restarts all entries of a site in one series and in two
+// overlapping ones. An entry that was chosen as the next owner may stop before it claims. The
+// service then has no owner until the claim delay of the other entries has passed. On the small
+// site there is a time at which all entries are stopping or down.
 func TestRollingRestartHandsOverPromptly(t *testing.T) {
-	// The timers of a bubble that several threads run at once crash the race detector
-	// of Go 1.26, with and without a race.
+	// The race detector of Go 1.26 crashes if several threads run the timers of a synctest
+	// bubble at once, whether or not there is a race.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const (
 		seeds = 3
 
-		// mostLate is the share of handovers that may take longer.
-		mostLate = 0.1
+		// maxLateShare is the share of handovers that may take longer than rollingPrompt.
+		maxLateShare = 0.1
 	)
 	cases := map[string]struct {
 		entries int
 		strong  int
 		series  int
 
-		// mostMoves bounds how often a service moves on average. One that knew the
-		// order of all stops would need one or two moves.
-		mostMoves float64
+		// maxMoves is the maximum average number of moves per service and seed. With the order
+		// of all stops known in advance, one or two moves would be enough.
+		maxMoves float64
 	}{
 		"one series": {
-			entries:   36,
-			strong:    8,
-			series:    1,
-			mostMoves: 1.3,
+			entries:  36,
+			strong:   8,
+			series:   1,
+			maxMoves: 1.3,
 		},
 		"two series": {
-			entries:   36,
-			strong:    8,
-			series:    2,
-			mostMoves: 2,
+			entries:  36,
+			strong:   8,
+			series:   2,
+			maxMoves: 2,
 		},
 		"two series, small site": {
-			entries:   9,
-			strong:    9,
-			series:    2,
-			mostMoves: 2,
+			entries:  9,
+			strong:   9,
+			series:   2,
+			maxMoves: 2,
 		},
 	}
 	for name, c := range cases {
@@ -382,17 +383,17 @@
 			s := sum(all, c.strong)
 			t.Logf("handovers %d, late %d, to weak entries %d, lost %d, without an owner %s, longest %s",
 				s.moves, s.late, s.weak, s.lost, s.without, s.longest)
-			is.True(2*s.moves >= seeds*rollingServices*c.series) // The entries did restart.
-			is.True(float64(s.moves) <= c.mostMoves*seeds*rollingServices)
-			is.True(float64(s.late) <= mostLate*float64(s.moves))
+			is.True(2*s.moves >= seeds*rollingServices*c.series) // The entries have been restarted.
+			is.True(float64(s.moves) <= c.maxMoves*seeds*rollingServices)
+			is.True(float64(s.late) <= maxLateShare*float64(s.moves))
 			is.Equal(s.weak, 0)
 			is.Equal(s.lost, 0)
 		})
 	}
 }
 
-// TestEntriesThatStartTogetherShareTheServices covers a first start: the first entry
-// that runs finds every service free, and the others come some milliseconds later.
+// TestEntriesThatStartTogetherShareTheServices covers the first start of a site. The first
+// entry finds all services without an owner, and the others start some milliseconds later.
 func TestEntriesThatStartTogetherShareTheServices(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) {
--- a/owner/standby_test.go
+++ b/owner/standby_test.go
@@ -15,8 +15,8 @@
 	"lemonstream.dev/lemonstream/owner"
 )
 
-// partDown returns a table over the rows that answers no transaction on the named
-// part while down is set.
+// withPartitionDown returns a table over the rows that leaves the transactions of the given
+// partition unanswered while down is set.
 func partDown(rows *standin.Rows, part string, down *atomic.Bool) outside.Table {
 	table := rows.Table()
 	write := table.Transact
@@ -40,8 +40,8 @@
 	return row != nil
 }
 
-// TestOwnerTakesJobsWhileItsPartIsDown covers an outage of one part of the store, of
-// which the service's owner is the only one to know.
+// TestOwnerAcceptsJobsWhilePartitionIsDown covers an outage of one partition of the store that
+// affects the service's owner only.
 func TestOwnerTakesJobsWhileItsPartIsDown(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -64,7 +64,7 @@
 	down.Store(false)
 	_, err = duty.Cancel(ctx, "meanwhile")
 	is.NoErr(err)
-	until(t, "the service's own part knows both, and the standby part is empty", func() bool {
+	until(t, "the service's own partition holds the progress of both jobs, and the standby partition is empty", func() bool {
 		return standsInStandby(t, rows, owner.ProgressKey("s", "before")) &&
 			standsInStandby(t, rows, owner.ProgressKey("s", "meanwhile")) &&
 			!standsInStandby(t, rows, owner.StandbyProgressKey("s", "before")) &&
@@ -73,8 +73,8 @@
 	is.True(!stands(t, rows, "before"))
 }
 
-// TestSuccessorFencesTheStandbyPart lets an owner that is succeeded, and does not know
-// yet, write to the standby part: nothing of it may take effect.
+// TestNextOwnerFencesStandbyPartition lets an owner that has been replaced, and does not know
+// it yet, write to the standby partition. None of its writes may take effect.
 func TestSuccessorFencesTheStandbyPart(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -86,7 +86,7 @@
 	defer cancel()
 	down.Store(true)
 	is.NoErr(duty.Submit(ctx, record("known")))
-	// The part is down for the first entry only.
+	// The partition is down for the first entry only.
 	second := newEntry(t, "b", rows, func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.NotDoneError{
 			Call: "ping",
@@ -94,7 +94,7 @@
 	})
 	until(t, "the second entry owns the service", second.owns)
 	successor, _ := second.keeper.Duty("s")
-	until(t, "the second entry has read the standby part", func() bool {
+	until(t, "the second entry has read the standby partition", func() bool {
 		state, found := successor.State("known")
 		return found && state == job.Queued
 	})
@@ -102,12 +102,12 @@
 	is.True(err != nil)
 	var notDone *outside.NotDoneError
 	is.True(!errors.As(err, &notDone) || !standsInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
-	is.True(outside.IsUncertain(err)) // The successor may have read what a try has written.
+	is.True(outside.IsUncertain(err)) // The next owner may have read what an attempt has written.
 	is.True(!standsInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
 }
 
-// TestRowThatCannotBeReadHoldsUpNothing puts rows of another version into the standby
-// part: the successor takes the others in.
+// TestUnreadableRowIsSkipped writes rows that cannot be decoded to the standby partition. The
+// next owner has to handle the other rows.
 func TestRowThatCannotBeReadHoldsUpNothing(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
--- a/owner/submit_test.go
+++ b/owner/submit_test.go
@@ -41,9 +41,9 @@
 	return row != nil
 }
 
-// TestHandedInJobStandsOrIsRefused lets a store refuse everything for a while: a
-// job whose record certainly was not written is refused at once, also one that a
-// transaction holds.
+// TestSubmittedJobIsStoredOrRefused has a store that rejects all transactions for a while. A
+// job whose record was certainly not written is refused at once, also if a transaction already
+// contains it.
 func TestHandedInJobStandsOrIsRefused(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -62,13 +62,13 @@
 		is.True(!stands(t, rows, id))
 	}
 	away.Store(false)
-	until(t, "the owner takes jobs again", func() bool { return duty.Submit(ctx, record("b")) == nil })
+	until(t, "the owner accepts jobs again", func() bool { return duty.Submit(ctx, record("b")) == nil })
 	is.True(stands(t, rows, "b"))
-	is.True(!stands(t, rows, "c")) // What was refused is never written.
+	is.True(!stands(t, rows, "c")) // A refused job is never written.
 }
 
-// TestJobInAnUnansweredTransactionIsNotRefused lets the store fall silent: whether
-// the record will stand is open until the duty ends.
+// TestJobInAnUnansweredTransactionIsNotRefused has a store that stops answering. Whether the
+// record will be stored is uncertain until the duty ends.
 func TestJobInAnUnansweredTransactionIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
@@ -93,9 +93,9 @@
 	is.True(outside.IsUncertain(err))
 }
 
-// TestOwnerThatIsRefusedDoesNotFillTheStore counts what an owner sends in a second
-// while the store refuses everything: a transaction that is given up is made anew,
-// and must not be sent at once.
+// TestRejectedOwnerDoesNotFloodStore counts the transactions that an owner sends in a second
+// while the store rejects all of them. The owner builds a new transaction in place of one that
+// it gave up, and must not send it at once.
 func TestOwnerThatIsRefusedDoesNotFillTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,14 +117,14 @@
 		until(t, "the entry owns the service", e.owns)
 		duty, _ := e.keeper.Duty("s")
 		away.Store(true)
-		time.Sleep(2 * time.Second) // The owner knows by now.
+		time.Sleep(2 * time.Second) // By now the owner has detected the rejections.
 		calls.Store(0)
 		for range 100 {
 			err := duty.Submit(t.Context(), record("a"))
 			is.True(err != nil)
 			time.Sleep(10 * time.Millisecond)
 		}
-		// One in 60 ms to each of the two parts of the service.
+		// One transaction every 60 ms to each of the two partitions of the service.
 		is.True(calls.Load() > 10)
 		is.True(calls.Load() <= 40)
 	})
--- a/owner/successor_test.go
+++ b/owner/successor_test.go
@@ -52,7 +52,7 @@
 				"a": "new",
 			},
 		},
-		"several parts are dealt out": {
+		"several parts are assigned": {
 			listed: listed,
 			parts:  []string{"a", "b", "c"},
 			total:  3,
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestDealtPartsSpread deals parts to entries that own none: no entry gets more than
-// its share, and the list's order does not matter.
+// TestAssignSuccessorsSpreadsParts assigns parts to entries that own none. No entry gets more
+// than its share, and the order of the list does not matter.
 func TestDealtPartsSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := rapid.Permutation([]int64{1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(t, "versions")
@@ -119,7 +119,7 @@
 		parts := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{4}"), 1, 20, rapid.ID[string]).Draw(t, "parts")
 		next := owner.Deal(listed, "self", parts, len(parts), make(map[string]int))
 		if len(next) != len(parts) {
-			t.Fatalf("%d of %d parts are dealt", len(next), len(parts))
+			t.Fatalf("%d of %d parts are assigned", len(next), len(parts))
 		}
 		got := make(map[string]int)
 		for _, entry := range next {
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestRowWithoutSuccessorDecodes reads a row as it was written before successors were
-// named, and has an older reader take a row of today.
+// TestRowWithoutSuccessorDecodes decodes a row of an older version, which had no next owner,
+// and has an older reader decode a row of the current version.
 func TestRowWithoutSuccessorDecodes(t *testing.T) {
 	is := is.New(t)
 	type older struct {
