--- a/owner/keeper_test.go
+++ b/owner/keeper_test.go
@@ -286,7 +286,7 @@
 }
 
 // TestRejectedOwnerIsReplacedSoon covers an owner whose writes the store rejects while it
-// accepts those of all others. The owner detected this at once, but the next owner waited until
+// accepts those of all others. The owner detects this at once. The next owner used to wait until
 // there had been no write for two heartbeats, and meanwhile the service accepted no jobs.
 func TestOwnerThatTheStoreTurnsAwayIsSucceededSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -135,8 +135,8 @@
 }
 
 // TestCapacityChangeIsNotifiedAtOnce covers a worker of which only the capacity changes. The
-// registry stored the row, but notified nobody until something else of the service changed, so
-// that tasks were started on a worker without capacity for them.
+// registry used to store the row and to notify nobody until something else of the service
+// changed, so that tasks were started on a worker without capacity for them.
 func TestRoomThatChangesIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -170,8 +170,8 @@
 }
 
 // TestRemovedForeignRowsAreForgotten has another writer write and remove as many rows as the
-// registry remembers. Rows were remembered forever, so that no later row was logged, and no log
-// line explained why a worker was not used.
+// registry remembers. Rows used to be remembered forever, so that no later row was logged, and
+// no log line explained why a worker was not used.
 func TestRowsOfAnotherWriterThatAreGoneAreForgotten(t *testing.T) {
 	for name, forget := range map[string]func(f *follower){
 		"seen in changes": func(*follower) {},
