--- a/admit/gate.go
+++ b/admit/gate.go
@@ -1,6 +1,7 @@
-// Package admit decides which requests of a service may go on now, which wait
-// and which are refused. Waiting is bounded, the least urgent are shed first,
-// and what can't finish by its deadline is refused at once.
+// Package admit does admission control: it decides which requests of a service
+// run now, which wait in a bounded queue and which are refused. A full queue sheds
+// the least urgent request first. A request that can't finish by its deadline is
+// refused at once. The package also divides quotas and slots among the entries.
 package admit
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Urgencies, from the least to the most urgent.
+// Levels of urgency, from the least to the most urgent.
 const (
 	Background Urgency = iota
 	Normal
@@ -19,85 +20,89 @@
 )
 
 const (
-	// ReasonDeadline means that the wait would outlast the deadline.
+	// ReasonDeadline means that the request can't finish by its deadline.
 	ReasonDeadline Reason = "deadline"
 
-	// ReasonGone means that the caller left while waiting.
+	// ReasonGone means that the caller cancelled the request while it waited.
 	ReasonGone Reason = "caller-gone"
 
-	// ReasonShed means that the queue is full of work at least as urgent.
+	// ReasonShed means that the queue is full of requests that go first.
 	ReasonShed Reason = "queue-full"
 
-	// ReasonStopping means that the entry stops.
+	// ReasonStopping means that the entry is shutting down.
 	ReasonStopping Reason = "stopping"
 )
 
-// durationWeight is the weight of the newest sample of the service time.
+// serviceTimeWeight is the weight of the newest sample in the moving average of the
+// service time.
 const durationWeight = 0.1
 
-// Gate admits the requests of one service at one entry.
+// Gate controls the admission of the requests of one service at one entry. It is safe
+// for concurrent use.
 type Gate struct {
 	mu sync.Mutex
 
-	// limit is the number of requests that may be in flight; at least 0.
+	// limit is the maximum number of requests in flight; at least 0.
 	limit int
 
-	// inflight is the number of admitted requests; it may stand above limit
-	// only after limit was lowered.
+	// inflight is the number of requests in flight. It exceeds limit only after
+	// limit was lowered.
 	inflight int
 
-	// queue holds the waiting requests, the least urgent first, so that the
-	// one to shed is at hand; its length is at most length.
+	// queue holds the waiting requests, at most maxQueued. The request to shed
+	// first is at index 0.
 	queue  waiters
 	length int
 
-	// service is the moving average of the time a request holds its place.
+	// serviceTime is the moving average of the time that a request is in flight.
 	service time.Duration
 
 	stopping bool
 }
 
-// Reason says why a request was refused.
+// Reason is the reason for which a request was refused.
 type Reason string
 
-// RefusedError reports a request that was not admitted and did not run.
+// RefusedError reports that a request was not admitted. The request did not run.
 type RefusedError struct {
 	Reason Reason
 
-	// RetryAfter is when it makes sense to come back.
+	// RetryAfter is the time after which the caller may retry; at least a second.
 	RetryAfter time.Duration
 }
 
-// Ticket is what admission depends on.
+// Ticket holds the properties of a request that decide on its admission.
 type Ticket struct {
 	Urgency Urgency
 
-	// Deadline is when the caller stops caring.
+	// Deadline is the time after which the caller has no use for an answer.
 	Deadline time.Time
 }
 
-// Urgency orders requests.
+// Urgency is the priority of a request; a higher value is admitted first.
 type Urgency int
 
 // waiter is one waiting request.
 type waiter struct {
 	ticket Ticket
 
-	// index is the place in the queue, or -1 when it was taken out.
+	// index is the position in the queue, or -1 after the removal from it.
 	index int
 
-	// verdict receives nil or a *RefusedError once; its capacity is 1.
+	// result receives nil or a *RefusedError exactly once, unless the waiter is
+	// abandoned first. Its capacity is 1, so that the sender never blocks.
 	verdict chan error
 }
 
 // waiters is a heap whose top is the request to shed first.
 type waiters []*waiter
 
-// NewGate returns a gate with the given limit in flight and queue length.
-func NewGate(limit, length int) *Gate {
+// NewGate returns a gate that admits up to limit requests at a time and queues up to
+// maxQueued more.
+func NewGate(limit, maxQueued int) *Gate {
 	return &Gate{
 		limit:   limit,
-		length:  length,
+		length:  maxQueued,
 		service: 0,
 	}
 }
@@ -107,9 +112,10 @@
 	return fmt.Sprintf("request refused: %s; come back in %s", e.Reason, e.RetryAfter)
 }
 
-// Enter waits for a place, at most until the ticket's deadline or the end of
-// ctx. It returns nil, after which the caller owes one Leave, or a
-// *RefusedError at once when waiting is of no use. now is the current instant.
+// Enter waits for admission, at most until the ticket's deadline or the end of
+// ctx. On nil the request is in flight, and Leave has to be called once at its end.
+// Otherwise Enter returns a *RefusedError, without any wait if the request could not
+// finish by its deadline. now is the current time.
 func (g *Gate) Enter(ctx context.Context, ticket Ticket, now time.Time) error {
 	w, err := g.enter(ticket, now)
 	if w == nil {
@@ -127,7 +133,8 @@
 	}
 }
 
-// Leave gives the place back after held and lets the next request in.
+// Leave ends an admitted request that was in flight for held, and admits the next
+// waiting request.
 func (g *Gate) Leave(held time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,7 +143,7 @@
 	g.fill()
 }
 
-// SetLimit changes the number of requests that may be in flight.
+// SetLimit changes the maximum number of requests in flight.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,14 +151,14 @@
 	g.fill()
 }
 
-// Demand returns the number of requests in flight and waiting.
+// Demand returns the number of requests that are in flight or waiting.
 func (g *Gate) Demand() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inflight + len(g.queue)
 }
 
-// Stop refuses the waiting and all later requests.
+// Stop refuses all waiting and all later requests.
 func (g *Gate) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,8 +168,9 @@
 	}
 }
 
-// abandon takes w out of the queue, or gives its place back when it was
-// admitted in the same moment.
+// abandon removes w from the queue and returns a refusal for the given reason. If w
+// was admitted in the meantime, abandon ends the request as Leave would, but without
+// a sample of the service time.
 func (g *Gate) abandon(w *waiter, reason Reason) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,22 +186,23 @@
 	return g.refusal(reason)
 }
 
-// enter admits at once, refuses at once, or returns a waiter.
+// enter admits or refuses a request, or queues it. Only a queued request has a
+// waiter.
 func (g *Gate) enter(ticket Ticket, now time.Time) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
 		return nil, g.refusal(ReasonStopping)
 	}
-	patience := ticket.Deadline.Sub(now)
-	if patience <= 0 {
+	remaining := ticket.Deadline.Sub(now)
+	if remaining <= 0 {
 		return nil, g.refusal(ReasonDeadline)
 	}
 	if g.inflight < g.limit && len(g.queue) == 0 {
 		g.inflight++
 		return nil, nil
 	}
-	if g.wait(g.ahead(ticket))+g.service > patience {
+	if g.wait(g.ahead(ticket))+g.service > remaining {
 		return nil, g.refusal(ReasonDeadline)
 	}
 	w := &waiter{
@@ -207,7 +216,7 @@
 	return w, nil
 }
 
-// ahead counts the waiting requests that go before ticket.
+// countAhead returns the number of waiting requests that go before ticket.
 func (g *Gate) ahead(ticket Ticket) int {
 	count := 0
 	for _, other := range g.queue {
@@ -218,7 +227,8 @@
 	return count
 }
 
-// fill admits waiting requests while there is room.
+// admitWaiting admits waiting requests while fewer than limit are in flight. The
+// most urgent go first.
 func (g *Gate) fill() {
 	for g.inflight < g.limit && len(g.queue) > 0 {
 		next := g.queue[0]
@@ -233,6 +243,8 @@
 	}
 }
 
+// newRefusal returns a refusal for the given reason, with the estimated wait of a new
+// request as its RetryAfter.
 func (g *Gate) refusal(reason Reason) *RefusedError {
 	return &RefusedError{
 		Reason:     reason,
@@ -240,13 +252,14 @@
 	}
 }
 
+// refuse removes w from the queue and refuses its request.
 func (g *Gate) refuse(w *waiter, reason Reason) {
 	heap.Remove(&g.queue, w.index)
 	w.verdict <- g.refusal(reason)
 }
 
-// shedFor makes room for w by refusing the request to shed first, if that one
-// is less urgent than w.
+// shedFor refuses the request to shed first, if w goes before that one. It reports
+// whether a request was shed.
 func (g *Gate) shedFor(w *waiter) bool {
 	if len(g.queue) == 0 || !before(w.ticket, g.queue[0].ticket) {
 		return false
@@ -255,7 +268,7 @@
 	return true
 }
 
-// wait estimates how long a request with count others before it waits.
+// estimateWait estimates how long a request waits that has count requests ahead.
 func (g *Gate) wait(count int) time.Duration {
 	if g.limit == 0 {
 		return g.service
@@ -266,7 +279,7 @@
 // Len implements heap.Interface.
 func (w waiters) Len() int { return len(w) }
 
-// Less implements heap.Interface: the request to shed first comes first.
+// Less implements heap.Interface. The request to shed first is the smallest.
 func (w waiters) Less(i, j int) bool { return before(w[j].ticket, w[i].ticket) }
 
 // Swap implements heap.Interface.
@@ -293,8 +306,8 @@
 	return last
 }
 
-// before reports whether a goes before b: the more urgent first, then the
-// earlier deadline.
+// before reports whether a goes before b: the more urgent request first, among
+// equally urgent ones the one with the earlier deadline.
 func before(a, b Ticket) bool {
 	if a.Urgency != b.Urgency {
 		return a.Urgency > b.Urgency
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -13,27 +13,27 @@
 	"lemonstream.dev/lemonstream/internal/prove"
 )
 
-func ticket(urgency admit.Urgency, patience time.Duration) (admit.Ticket, time.Time) {
+func ticket(urgency admit.Urgency, timeout time.Duration) (admit.Ticket, time.Time) {
 	now := time.Now()
 	return admit.Ticket{
 		Urgency:  urgency,
-		Deadline: now.Add(patience),
+		Deadline: now.Add(timeout),
 	}, now
 }
 
-// enter has a request ask for a place in the background.
+// enter calls Enter in a goroutine of its own and returns a channel with the result.
 func enter(g *admit.Gate, urgency admit.Urgency) <-chan error {
-	verdict := make(chan error, 1)
+	result := make(chan error, 1)
 	want, now := ticket(urgency, time.Minute)
-	time.AfterFunc(0, func() { verdict <- g.Enter(context.Background(), want, now) })
-	return verdict
+	time.AfterFunc(0, func() { result <- g.Enter(context.Background(), want, now) })
+	return result
 }
 
 func waitFor(t *testing.T, g *admit.Gate, demand int) {
 	t.Helper()
 	for begin := time.Now(); g.Demand() != demand; time.Sleep(time.Millisecond) {
 		if time.Since(begin) > time.Minute {
-			t.Fatalf("demand is %d, not %d", g.Demand(), demand)
+			t.Fatalf("demand is %d, want %d", g.Demand(), demand)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	background := enter(g, admit.Background)
 	waitFor(t, g, 2)
 	urgent := enter(g, admit.Urgent)
-	is.Equal(reason(<-background), admit.ReasonShed) // Shed for the urgent one, at once.
+	is.Equal(reason(<-background), admit.ReasonShed) // Shed at once for the urgent request.
 	is.Equal(reason(<-enter(g, admit.Normal)), admit.ReasonShed)
 	g.Leave(time.Millisecond)
 	is.NoErr(<-urgent)
@@ -63,13 +63,13 @@
 	is := is.New(t)
 	g := admit.NewGate(1, 10)
 	is.NoErr(<-enter(g, admit.Normal))
-	g.Leave(100 * time.Second) // The service takes about 10 s a request now.
+	g.Leave(100 * time.Second) // Raises the average service time to about 10 s.
 	is.NoErr(<-enter(g, admit.Normal))
 	want, now := ticket(admit.Urgent, time.Second)
 	err := g.Enter(context.Background(), want, now)
 	is.Equal(reason(err), admit.ReasonDeadline)
 	var refused *admit.RefusedError
-	is.True(errors.As(err, &refused) && refused.RetryAfter > 0) // And says when to come back.
+	is.True(errors.As(err, &refused) && refused.RetryAfter > 0) // With a time for the retry.
 }
 
 func TestCallerWhoLeavesFreesItsPlace(t *testing.T) {
@@ -94,8 +94,8 @@
 	is.Equal(reason(<-enter(g, admit.Urgent)), admit.ReasonStopping)
 }
 
-// TestSharesNeverPassTheTotal is what keeps quotas and slots over all entries
-// together: entries that know the same claims divide the whole and no more.
+// TestSharesAddUpToTotal checks that entries that know the same claims divide quotas and
+// slots completely, without giving out more than the total.
 func TestSharesNeverPassTheTotal(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1e6), 1, 12).Draw(t, "demands")
--- a/admit/quota.go
+++ b/admit/quota.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Quota is a token bucket: this entry's share of a team's quota.
+// Quota is a token bucket that holds this entry's share of a team's quota. It is safe
+// for concurrent use.
 type Quota struct {
 	mu sync.Mutex
 
-	// rate is in requests a second and burst in requests; both are this
-	// entry's share and at least 0.
+	// rate is in requests per second, burst in requests. Both are this entry's
+	// share and at least 0.
 	rate  float64
 	burst float64
 
 	// tokens is at most max(burst, 1).
 	tokens float64
 
-	// last is when tokens were last added.
+	// refilledAt is the time of the last refill.
 	last time.Time
 
-	// asked counts the requests since the last call of Demand.
+	// requests is the number of calls of Take since the last call of Demand.
 	asked int
 }
 
@@ -34,16 +35,17 @@
 	}
 }
 
-// Demand returns the requests asked for since the last call.
+// Demand returns the number of calls of Take, granted or not, since the last call of
+// Demand.
 func (q *Quota) Demand() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	asked := q.asked
+	requests := q.asked
 	q.asked = 0
-	return asked
+	return requests
 }
 
-// Set changes the entry's share.
+// Set changes the entry's share. Tokens beyond the new burst are lost.
 func (q *Quota) Set(rate, burst float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -52,7 +54,8 @@
 	q.tokens = min(q.tokens, max(burst, 1))
 }
 
-// Take spends one token. It returns 0, or how long until there is one.
+// Take spends one token and returns 0. If there is no token, it returns the time
+// after which to retry.
 func (q *Quota) Take(now time.Time) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/admit/share.go
+++ b/admit/share.go
@@ -3,18 +3,18 @@
 import "sort"
 
 const (
-	// EvenQuota is the part of a quota that is shared evenly whatever the
-	// demand. It is small, because an entry whose demand starts anew has a
-	// burst to spend until it is heard (docs/design/quotas.md).
+	// EvenQuota is the fraction of a quota that is divided evenly, regardless of
+	// demand. It is small because an entry with new demand can spend its burst
+	// until the other entries learn of the demand (docs/design/quotas.md).
 	EvenQuota = 0.05
 
-	// EvenSlots is the part of an endpoint's slots that is shared evenly. It
-	// is larger, because a request that finds no slot waits until its entry
-	// is heard.
+	// EvenSlots is the fraction of an endpoint's slots that is divided evenly. It
+	// is larger than EvenQuota because a request without a slot waits until the
+	// other entries learn of the demand at its entry.
 	EvenSlots = 0.25
 )
 
-// Claim is what one entry asks of a total.
+// Claim is the demand of one entry for its share of a total.
 type Claim struct {
 	// Entry is unique among the claims.
 	Entry string
@@ -23,9 +23,10 @@
 	Demand float64
 }
 
-// Share returns entry's part of a total between 0 and 1: evenPart of it evenly
-// and the rest by demand. The shares of all claims add up to 1, so entries
-// that know the same claims never give out more than the total.
+// Share returns the entry's fraction of a total, between 0 and 1. The fraction
+// evenPart of the total is divided evenly, the rest by demand. An entry without a
+// claim gets 0. The shares of all claims add up to 1, so entries that know the same
+// claims never give out more than the total.
 func Share(entry string, claims []Claim, evenPart float64) float64 {
 	sum := 0.0
 	own := 0.0
@@ -47,10 +48,10 @@
 	return evenPart*even + (1-evenPart)*own/sum
 }
 
-// Slots divides total whole slots among the claims by their shares and
-// returns entry's number. Remainders go to the largest fractions; rank breaks
-// ties, and differs from endpoint to endpoint so that no entry is always last.
-// The numbers of all claims add up to total.
+// Slots divides total slots among the claims by their shares and returns the number
+// of the given entry. Slots left after rounding down go to the largest fractions. The
+// higher rank wins a tie; ranks differ from endpoint to endpoint, so that no entry is
+// always last. The numbers of all claims add up to total.
 func Slots(entry string, total int, claims []Claim, rank func(entry string) uint64) int {
 	type portion struct {
 		entry    string
@@ -59,11 +60,11 @@
 		rank     uint64
 	}
 	portions := make([]portion, 0, len(claims))
-	left := total
+	remaining := total
 	for _, claim := range claims {
 		exact := float64(total) * Share(claim.Entry, claims, EvenSlots)
 		whole := int(exact)
-		left -= whole
+		remaining -= whole
 		portions = append(portions, portion{
 			entry:    claim.Entry,
 			whole:    whole,
@@ -81,7 +82,7 @@
 		if p.entry != entry {
 			continue
 		}
-		if i < left {
+		if i < remaining {
 			return p.whole + 1
 		}
 		return p.whole
