--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,55 +1,56 @@
 // Package budget decides how many instances of a pool may leave now without
-// breaking the availability budget of any service on it. It is pure.
+// violating the availability budget of any service on the pool. It does no input or
+// output and keeps no state.
 package budget
 
 import "fmt"
 
-// ExceededError reports instances that may not leave now.
+// ExceededError reports that a set of instances may not leave now.
 type ExceededError struct {
 	Pool string
 
-	// Wanted is the number of instances that were to leave, Free the number
-	// that may.
+	// Wanted is the number of available instances that were to leave, Free the
+	// number that may leave.
 	Wanted int
 	Free   int
 
-	// Available is the number that serve now, Least the budget and Reserve
-	// what is held back for the loss of racks.
+	// Available is the number of available instances, Least the number that must
+	// stay available, and Reserve the number held back for the loss of racks.
 	Available int
 	Least     int
 	Reserve   int
 }
 
-// Instance is one instance of the pool as the budget sees it.
+// Instance is the state of one instance of a pool that the budget depends on.
 type Instance struct {
 	ID   string
 	Rack string
 
-	// Out is whether the instance left or has a permit to leave.
+	// Out is whether the instance has left or has a permit to leave.
 	Out bool
 
-	// Lost is whether the instance does not run, by any evidence.
+	// Lost is whether there is any evidence that the instance does not run.
 	Lost bool
 }
 
-// Pool is what the budget depends on.
+// Pool is the state of a pool that the budget depends on.
 type Pool struct {
 	Name      string
 	Instances []Instance
 
-	// Least is the number of instances that must serve at any moment.
+	// Least is the minimum number of available instances.
 	Least int
 
-	// ReserveRacks is the number of racks whose loss must stay affordable.
+	// ReserveRacks is the number of racks that may fail without violating the budget.
 	ReserveRacks int
 }
 
 // Error implements error.
 func (e *ExceededError) Error() string {
-	return fmt.Sprintf("pool %s: %d instances want to leave and %d may: %d serve, the budget keeps %d, the reserve for lost racks %d", e.Pool, e.Wanted, e.Free, e.Available, e.Least, e.Reserve)
+	return fmt.Sprintf("pool %s: %d instances were to leave but at most %d may: %d are available, the budget requires %d, and %d are reserved for rack failures", e.Pool, e.Wanted, e.Free, e.Available, e.Least, e.Reserve)
 }
 
-// Available returns the number of instances that can be counted on.
+// Available returns the number of instances that are neither out nor lost.
 func (p Pool) Available() int {
 	count := 0
 	for _, instance := range p.Instances {
@@ -60,9 +61,9 @@
 	return count
 }
 
-// Check returns nil if the instances called ids may all leave together now, or
-// an *ExceededError. Unplanned losses have been counted already, so planned
-// leave only gets what they left over.
+// Check returns nil if the instances with the given IDs may all leave together now,
+// and an *ExceededError otherwise. Lost instances count against the budget first, so
+// planned departures only get the rest.
 func (p Pool) Check(ids []string) error {
 	leaving := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -90,8 +91,9 @@
 	}
 }
 
-// Reserve returns the instances held back while ids are out: as many as serve
-// in the largest racks that would remain.
+// Reserve returns the number of instances held back for the loss of racks while the
+// instances with the given IDs are out. It is the number of available instances in
+// the ReserveRacks largest racks that remain.
 func (p Pool) Reserve(ids []string) int {
 	leaving := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -100,6 +102,7 @@
 	return p.reserve(leaving)
 }
 
+// reserve implements Reserve for a set of IDs.
 func (p Pool) reserve(leaving map[string]bool) int {
 	racks := make(map[string]int)
 	for _, instance := range p.Instances {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -12,7 +12,7 @@
 	"lemonstream.dev/lemonstream/internal/prove"
 )
 
-// pool returns a pool of count instances, two to a rack.
+// pool returns a pool of count instances, two per rack.
 func pool(count, least, reserve int) budget.Pool {
 	p := budget.Pool{
 		Name:         "p",
@@ -36,45 +36,45 @@
 		free   int
 		ok     bool
 	}{
-		"room enough": {
+		"within budget": {
 			pool: pool(6, 3, 0),
 			ids:  []string{"w0", "w1", "w2"},
 			ok:   true,
 		},
-		"one too many": {
+		"one above budget": {
 			pool: pool(6, 3, 0),
 			ids:  []string{"w0", "w1", "w2", "w3"},
 			free: 3,
 		},
-		"a loss counts before": {
+		"lost instance counts first": {
 			pool:   pool(6, 3, 0),
 			change: func(p *budget.Pool) { p.Instances[5].Lost = true },
 			ids:    []string{"w0", "w1", "w2"},
 			free:   2,
 		},
-		"who is out counts": {
+		"instance that is out counts": {
 			pool:   pool(6, 3, 0),
 			change: func(p *budget.Pool) { p.Instances[5].Out = true },
 			ids:    []string{"w0", "w1", "w2"},
 			free:   2,
 		},
-		"who is lost leaves for nothing": {
+		"lost instance may always leave": {
 			pool:   pool(6, 5, 0),
 			change: func(p *budget.Pool) { p.Instances[0].Lost = true },
 			ids:    []string{"w0"},
 			ok:     true,
 		},
-		"a rack in reserve": {
+		"one rack reserved": {
 			pool: pool(6, 3, 1),
 			ids:  []string{"w0", "w1"},
 			free: 1,
 		},
-		"the leaver's rack needs no spare": {
+		"rack of a leaving instance needs no reserve": {
 			pool: pool(4, 1, 1),
 			ids:  []string{"w0"},
 			ok:   true,
 		},
-		"more lost than the budget has": {
+		"more lost than the budget allows": {
 			pool:   pool(4, 4, 1),
 			change: func(p *budget.Pool) { p.Instances[0].Lost = true },
 			ids:    []string{"w1"},
@@ -97,7 +97,8 @@
 	}
 }
 
-// TestRackLossAfterPermit is what the reserve is for.
+// TestRackLossAfterPermit checks that the budget still holds if a rack fails after a
+// permit for instances to leave was given.
 func TestRackLossAfterPermit(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		p := pool(rapid.IntRange(1, 16).Draw(t, "count"), rapid.IntRange(0, 10).Draw(t, "least"), 1)
@@ -122,7 +123,7 @@
 			}
 		}
 		if serving < p.Least {
-			t.Fatalf("%d serve after the loss of rack %d, the budget keeps %d", serving, lost, p.Least)
+			t.Fatalf("%d available after the loss of rack %d, the budget requires %d", serving, lost, p.Least)
 		}
 	})
 }
