--- a/link/budget.go
+++ b/link/budget.go
@@ -1,11 +1,14 @@
-// Package link decides what an entry's link carries first when it is what binds. Load
-// pattern: a service's turn of demand begins, its owner has room for some hundred tasks
-// at once, and all orders to start them go out together. On a thin link they stand in the
-// system's queue before renewals, transactions and answers, which then come too late:
-// leases lapse, and the owner is succeeded although it works.
+// Package link limits the rate of deferrable traffic on an entry's network link, so that
+// urgent traffic is not delayed when the link is the bottleneck. The load pattern behind
+// it: a demand burst of a service begins, its owner has the resources for some hundred
+// tasks at once, and all orders to start them are sent together. On a slow link they fill
+// the queue of the operating system ahead of lease renewals, transactions and answers,
+// which then arrive too late: leases lapse, and another entry takes over from an owner
+// that still works.
 //
-// What can wait asks a Budget. What may not (renewals of leases, stops, transactions of
-// the owner, claims) never asks, and so goes first. The package does no input or output.
+// Deferrable traffic takes its bytes from a Budget before it is sent. Urgent traffic
+// (lease renewals, stops, transactions of the owner, claims) takes none and is never held
+// back. The package does no input or output.
 package link
 
 import (
@@ -14,49 +17,53 @@
 )
 
 const (
-	// startShare is the part of the link that orders to start tasks may take. Of the
-	// rest, an owner in its turn spends a quarter on looks at its workers and a fifth on
-	// its transactions, measured in bytes over 5 s on a link of 2 Mbit/s.
+	// startShare is the fraction of the link that orders to start tasks may take. Of the
+	// rest, an owner in a demand burst spends a quarter on polls of its workers and a
+	// fifth on its transactions, on a link of 2 Mbit/s.
 	startShare = 0.45
 
-	// feedShare is the part of the link that may go into passing changes of tables on, beside
-	// the work that an owner does on it.
+	// feedShare is the fraction of the link that forwarded table changes may take, next to
+	// the traffic of an owner.
 	feedShare = 0.1
 
-	// burst is for how long a budget that was not used adds up: orders that go out at one
-	// moment delay what comes after them by no more than this.
+	// burst is the time over which an unused budget accumulates. Orders that are sent
+	// together delay later traffic by no more than this.
 	burst = 100 * time.Millisecond
 
-	// bitsPerByte turns the rate of a link into bytes.
+	// bitsPerByte converts the rate of a link to bytes.
 	bitsPerByte = 8
 )
 
-// Budget bounds the bytes that something may put on the link. It may be used by many
-// goroutines; nil bounds nothing.
+// Budget is a token bucket that limits the bytes sent over a link by one kind of traffic.
+// It is safe for concurrent use. A nil Budget has no limit.
 type Budget struct {
-	// perSecond is in bytes.
+	// bytesPerSecond is the rate of the refill.
 	perSecond float64
 
 	mu sync.Mutex
 
-	// left is what may be sent now, in bytes. It is negative after something larger than
-	// the burst, which waits until nothing is owed and then goes as a whole.
+	// available is the number of bytes that may be sent now. A message is sent as a whole
+	// if available is positive, even if the message is larger. available is then negative
+	// and later messages wait until it is positive again.
 	left float64
-	at   time.Time
+
+	// refilledAt is the time of the last refill.
+	at time.Time
 }
 
-// StartBudget returns the budget of orders to start tasks on a link of so many bits a
-// second; nil where that is not known.
+// StartBudget returns the budget for orders to start tasks on a link of the given rate,
+// or nil if bitsPerSecond is not positive (an unknown rate).
 func StartBudget(bitsPerSecond float64) *Budget {
 	return newBudget(startShare * bitsPerSecond)
 }
 
-// FeedBudget returns the budget of table changes that are passed on over such a link; nil where
-// its rate is not known.
+// FeedBudget returns the budget for forwarded table changes on a link of the given rate,
+// or nil if bitsPerSecond is not positive (an unknown rate).
 func FeedBudget(bitsPerSecond float64) *Budget {
 	return newBudget(feedShare * bitsPerSecond)
 }
 
+// newBudget returns a budget with the given rate, or nil if the rate is not positive.
 func newBudget(bitsPerSecond float64) *Budget {
 	if bitsPerSecond <= 0 {
 		return nil
@@ -66,7 +73,8 @@
 	}
 }
 
-// Take takes bytes from the budget; false where that has to wait.
+// Take takes bytes from the budget. It returns false, and takes nothing, if the message
+// has to wait; see ReadyAt.
 func (b *Budget) Take(bytes int, now time.Time) bool {
 	if b == nil {
 		return true
@@ -81,7 +89,7 @@
 	return true
 }
 
-// Ready returns when something can be taken at the earliest.
+// ReadyAt returns the earliest time at which Take can succeed.
 func (b *Budget) Ready(now time.Time) time.Time {
 	if b == nil {
 		return now
@@ -95,8 +103,8 @@
 	return now.Add(time.Duration((1 - b.left) / b.perSecond * float64(time.Second)))
 }
 
-// PerSecond returns how many messages of a size the budget allows in a second; 0 where
-// nothing is bounded.
+// MessagesPerSecond returns how many messages of the given size in bytes the budget allows
+// per second, or 0 if there is no limit.
 func (b *Budget) PerSecond(bytes int) float64 {
 	if b == nil {
 		return 0
@@ -104,14 +112,14 @@
 	return b.perSecond / float64(bytes)
 }
 
-// refill adds what the time that passed allows.
+// refill adds the bytes for the time since the last refill. A new budget starts full.
 func (b *Budget) refill(now time.Time) {
-	most := b.perSecond * burst.Seconds()
+	maxBytes := b.perSecond * burst.Seconds()
 	if b.at.IsZero() {
-		b.left = most
+		b.left = maxBytes
 	}
 	if now.After(b.at) {
-		b.left = min(most, b.left+b.perSecond*now.Sub(b.at).Seconds())
+		b.left = min(maxBytes, b.left+b.perSecond*now.Sub(b.at).Seconds())
 		b.at = now
 	}
 }
--- a/link/budget_test.go
+++ b/link/budget_test.go
@@ -11,9 +11,9 @@
 	"lemonstream.dev/lemonstream/link"
 )
 
-// TestBudgetIsNeverExceeded draws orders of any size at any moments: over no span more
-// goes out than the share of the link, what a tenth of a second adds, and the one order
-// that was larger than what was left.
+// TestBudgetIsNeverExceeded draws orders of random sizes at random times. At no time may
+// the bytes sent since the start exceed the sum of the share of the link, the burst of a
+// tenth of a second, and one order that was larger than the available bytes.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		const bits = 2_000_000
@@ -30,15 +30,16 @@
 			if b.Take(size, now) {
 				sent += size
 			}
-			most := perSecond*(now.Sub(start).Seconds()+0.1) + float64(largest)
-			if float64(sent) > most {
-				t.Fatalf("%d bytes in %v, %f allowed", sent, now.Sub(start), most)
+			maxSent := perSecond*(now.Sub(start).Seconds()+0.1) + float64(largest)
+			if float64(sent) > maxSent {
+				t.Fatalf("%d bytes sent in %v, at most %f allowed", sent, now.Sub(start), maxSent)
 			}
 		}
 	})
 }
 
-// TestBudgetIsReadyWhenItSays covers the moment at which whoever waits comes back.
+// TestReadyAtIsEarliestTake checks that Take fails just before ReadyAt and succeeds just
+// after it.
 func TestBudgetIsReadyWhenItSays(t *testing.T) {
 	is := is.New(t)
 	b := link.StartBudget(2_000_000)
@@ -51,7 +52,7 @@
 	is.True(b.Take(1000, ready.Add(time.Millisecond)))
 }
 
-// TestLinkOfUnknownRateBoundsNothing covers settings without a rate.
+// TestUnknownRateHasNoLimit covers settings without a link rate.
 func TestLinkOfUnknownRateBoundsNothing(t *testing.T) {
 	is := is.New(t)
 	b := link.StartBudget(0)
