--- a/budget/budget.go
+++ b/budget/budget.go
@@ -47,7 +47,7 @@
 
 // Error implements error.
 func (e *ExceededError) Error() string {
-	return fmt.Sprintf("pool %s: %d instances were to leave but at most %d may: %d are available, the budget requires %d, and %d are reserved for rack failures", e.Pool, e.Wanted, e.Free, e.Available, e.Least, e.Reserve)
+	return fmt.Sprintf("pool %s: %d instances want to leave and %d may: %d serve, the budget keeps %d, the reserve for lost racks %d", e.Pool, e.Wanted, e.Free, e.Available, e.Least, e.Reserve)
 }
 
 // Available returns the number of instances that are neither out nor lost.
