--- a/pool/labels.go
+++ b/pool/labels.go
@@ -4,16 +4,16 @@
 	"sort"
 )
 
-// growLabelled gives a service the instances of each label that its tasks ask
-// for, beyond its target if need be: no other instance can run them.
+// growLabelled gives a service the instances that it needs of each label that its tasks
+// require. It may exceed the service's target, because no other instance can run these tasks.
 func (r *round) growLabelled(service *Service) {
 	if service.Asleep || !service.Known {
 		return
 	}
 	for _, label := range r.labels(service) {
-		offer := r.offerTo(service.Name, label)
+		candidates := r.offerTo(service.Name, label)
 		for r.labelled(service.Name, label) < r.wanted(service, label) {
-			sp := offer.next()
+			sp := candidates.next()
 			if sp == nil {
 				break
 			}
@@ -22,7 +22,7 @@
 	}
 }
 
-// labels returns the labels that a service's tasks ask for, sorted.
+// requiredLabels returns the labels that a service's tasks require, sorted.
 func (r *round) labels(service *Service) []string {
 	var list []string
 	for label := range service.Load.Labelled {
@@ -32,13 +32,15 @@
 	return list
 }
 
-// poolLabel is a label in a pool.
+// poolLabel identifies a label within a pool; it is the key of labelCounts.
 type poolLabel struct {
 	pool  string
 	label string
 }
 
-// labelled counts the instances of a pool that carry a label.
+// countLabelled counts the instances with the label that are in the pool or on their way to it.
+// Instances that are closed for maintenance or in an evacuated availability zone do not count.
+// The result is cached in labelCounts.
 func (r *round) labelled(pool, label string) int {
 	key := poolLabel{
 		pool:  pool,
@@ -61,7 +63,7 @@
 	return count
 }
 
-// wanted returns how many instances of a label a service needs.
+// neededForLabel returns how many instances with the label a service needs, at least one.
 func (r *round) wanted(service *Service, label string) int {
 	each := r.room(service.Name)
 	need := service.Load.Labelled[label]
@@ -75,7 +77,8 @@
 	return count
 }
 
-// kept reports whether a service can't spare an instance because of a label.
+// isNeededForLabel reports whether the instance has a label of which its service has no more
+// instances than it needs.
 func (r *round) kept(sp *spot) bool {
 	service, found := r.services[sp.pool]
 	if !found {
@@ -89,8 +92,8 @@
 	return false
 }
 
-// irreplaceable reports whether an instance carries a label that its service needs
-// and that no other instance can bring: what runs there could never leave.
+// isIrreplaceable reports whether the instance has a label that its service needs and no other
+// instance can be moved in for it. The tasks on such an instance would have nowhere to go.
 func (r *round) irreplaceable(sp *spot) bool {
 	service, found := r.services[sp.pool]
 	if !found {
@@ -105,7 +108,7 @@
 	return false
 }
 
-// carries reports whether the instance has a label; all have the empty one.
+// hasLabel reports whether the instance has the label. Every instance has the empty label.
 func (sp *spot) carries(label string) bool {
 	if label == "" {
 		return true
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -7,16 +7,19 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// maintain takes down instances of waves, sleeping ones first.
+// maintain plans the maintenance of the instances of every open wave.
 func (r *round) maintain() {
 	for _, wave := range r.view.Waves {
 		r.maintainWave(wave)
 	}
 }
 
+// maintainWave closes the workers of the wave's instances and orders the maintenance of those
+// where nothing runs, sleeping instances first. At most AtOnce instances of the wave are down
+// or closed at a time.
 func (r *round) maintainWave(wave *Wave) {
 	down := 0
-	var left []*spot
+	var remaining []*spot
 	closing := make(map[string]int)
 	members := wave.members()
 	for _, sp := range r.spots {
@@ -29,14 +32,14 @@
 			down++
 		}
 		if !wave.Done[sp.instance.ID] && sp.free && !sp.closed {
-			left = append(left, sp)
+			remaining = append(remaining, sp)
 		}
 	}
-	sort.SliceStable(left, func(i, j int) bool {
-		return r.trouble(left[i]) < r.trouble(left[j])
+	sort.SliceStable(remaining, func(i, j int) bool {
+		return r.trouble(remaining[i]) < r.trouble(remaining[j])
 	})
 	late := r.view.Now.Sub(wave.Seen) > time.Duration((1-hurryShare)*float64(wave.Within))
-	for _, sp := range left {
+	for _, sp := range remaining {
 		if down >= wave.AtOnce {
 			return
 		}
@@ -48,8 +51,8 @@
 		r.labelCounts = nil
 		if awake {
 			closing[sp.pool]++
-			// Another instance takes its place meanwhile, so that what runs there
-			// has somewhere to go.
+			// Not counting the instance lets another one replace it, so that the tasks on
+			// it have somewhere to go.
 			if !sp.evacuated {
 				r.count[sp.pool]--
 			}
@@ -69,7 +72,9 @@
 	}
 }
 
-// mayClose bounds how many instances of a pool are closed for maintenance.
+// mayClose reports whether an awake instance may be closed for maintenance. Unless the pool has
+// more instances than its target or the wave is late, at most maxMaintenanceShare of the pool,
+// but at least one instance, is closed at a time.
 func (r *round) mayClose(sp *spot, closing map[string]int, late bool) bool {
 	if !sp.known || sp.load.Draining || r.irreplaceable(sp) {
 		return false
@@ -80,7 +85,8 @@
 	return float64(closing[sp.pool]) < max(1, maintainShare*float64(r.count[sp.pool]))
 }
 
-// trouble orders instances by what their maintenance disturbs.
+// disruptionCost returns how much the maintenance of the instance disrupts: 0 for a sleeping
+// instance, more than 0 for an awake one.
 func (r *round) trouble(sp *spot) int {
 	if sp.pool == r.asleep {
 		return 0
@@ -88,7 +94,7 @@
 	return 1 + sp.cost()
 }
 
-// members returns the instances of the wave.
+// members returns the IDs of the wave's instances as a set.
 func (w *Wave) members() map[string]bool {
 	members := make(map[string]bool, len(w.Instances))
 	for _, id := range w.Instances {
@@ -97,8 +103,8 @@
 	return members
 }
 
-// Complete reports whether every instance of the wave that is still there has
-// begun its maintenance.
+// Complete reports whether maintenance has begun on every instance of the wave that is still
+// listed.
 func (w *Wave) Complete(instances []outside.Instance) bool {
 	members := w.members()
 	for _, m := range instances {
--- a/pool/offer.go
+++ b/pool/offer.go
@@ -2,11 +2,11 @@
 
 import "sort"
 
-// offer is the instances that a service which lacks some may be given, each group in the order
-// in which it is taken: first those that are about to be sent to sleep with nothing on them, then
-// sleeping ones, then others that are awake. An instance that can't be given now can't be
-// later in the same plan: its pool only shrinks, and what the service needs only grows less
-// urgent. So each is looked at once, however many are given.
+// candidates holds the instances that may be moved to a service that lacks some. They are taken
+// in the order of the groups: empty instances of pools above their target, then sleeping
+// instances, then other awake instances. An instance that can't be moved now can't be moved
+// later in the same plan either, because its pool only shrinks and the need of the service only
+// becomes less urgent. Each instance is therefore checked once, however many are moved.
 type offer struct {
 	round *round
 	to    string
@@ -16,9 +16,10 @@
 	awake    []*spot
 }
 
-// offerTo returns what a service may be given; all of it carries the label unless that is empty.
+// candidatesFor returns the instances with the label that may be moved to a service. The empty
+// label matches every instance.
 func (r *round) offerTo(to, label string) *offer {
-	o := &offer{
+	c := &offer{
 		round: r,
 		to:    to,
 	}
@@ -27,34 +28,35 @@
 			continue
 		}
 		if sp.pool == r.asleep {
-			o.sleeping = append(o.sleeping, sp)
+			c.sleeping = append(c.sleeping, sp)
 			continue
 		}
 		if sp.empty() {
-			o.leaving = append(o.leaving, sp)
+			c.leaving = append(c.leaving, sp)
 		}
-		o.awake = append(o.awake, sp)
+		c.awake = append(c.awake, sp)
 	}
-	sortByCost(o.awake)
-	return o
+	sortByCost(c.awake)
+	return c
 }
 
-// next returns the instance that is missed least elsewhere, or nil.
-func (o *offer) next() *spot {
-	if sp := o.first(&o.leaving, func(sp *spot) bool { return o.canSpare(sp) && o.hasTooMany(sp) }); sp != nil {
+// next returns the candidate whose move costs the least, or nil if none is left.
+func (c *offer) next() *spot {
+	if sp := c.first(&c.leaving, func(sp *spot) bool { return c.canSpare(sp) && c.hasTooMany(sp) }); sp != nil {
 		return sp
 	}
-	if sp := o.first(&o.sleeping, func(*spot) bool { return true }); sp != nil {
+	if sp := c.first(&c.sleeping, func(*spot) bool { return true }); sp != nil {
 		return sp
 	}
-	return o.first(&o.awake, o.canSpare)
+	return c.first(&c.awake, c.canSpare)
 }
 
-// first returns the first of a group that can be given, and drops those before it.
-func (o *offer) first(group *[]*spot, usable func(*spot) bool) *spot {
+// firstUsable returns the first instance of a group that can be moved, and drops those before
+// it from the group. It returns nil if there is none.
+func (c *offer) first(group *[]*spot, usable func(*spot) bool) *spot {
 	for len(*group) > 0 {
 		sp := (*group)[0]
-		if o.round.movable(sp, o.to) && usable(sp) {
+		if c.round.movable(sp, c.to) && usable(sp) {
 			return sp
 		}
 		*group = (*group)[1:]
@@ -62,17 +64,17 @@
 	return nil
 }
 
-// canSpare reports whether the pool of an awake instance has more than it keeps.
-func (o *offer) canSpare(sp *spot) bool {
-	return o.round.count[sp.pool] > o.round.keeps(sp.pool, o.to)
+// canSpare reports whether the pool of an awake instance has more instances than it retains.
+func (c *offer) canSpare(sp *spot) bool {
+	return c.round.count[sp.pool] > c.round.keeps(sp.pool, c.to)
 }
 
-// hasTooMany reports whether the pool of an awake instance has more than it wants.
-func (o *offer) hasTooMany(sp *spot) bool {
-	return o.round.count[sp.pool] > o.round.plan.Targets[sp.pool]
+// hasTooMany reports whether the pool of an awake instance is above its target.
+func (c *offer) hasTooMany(sp *spot) bool {
+	return c.round.count[sp.pool] > c.round.plan.Targets[sp.pool]
 }
 
-// sortByCost sorts awake instances by what emptying them takes, equal ones as they were.
+// sortByCost sorts awake instances by the cost of emptying them. The sort is stable.
 func sortByCost(list []*spot) {
 	costs := make(map[*spot]int, len(list))
 	for _, sp := range list {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,7 +1,6 @@
 // Package pool decides how many instances each service has, which instances move
-// between pools, and when an instance may be taken down for maintenance. It is a
-// pure decision: a function of what is known at one moment and of the little
-// that it remembers, and it does no input or output.
+// between pools, and when an instance may be taken down for maintenance. It does no I/O:
+// a plan depends only on the View passed in and the state kept in the Sizer.
 package pool
 
 import (
@@ -15,71 +14,71 @@
 )
 
 const (
-	// floorInstances is the least number of awake instances of a service that
-	// has work or may get some: one may be lost with its rack and the others
-	// still take what comes at once.
+	// minInstances is the minimum number of awake instances of a service. If one is lost
+	// with its rack, the others can still take new work at once.
 	floorInstances = 3
 
-	// DefaultMoveCost is what a move costs where nobody says otherwise: about half of the
-	// time for which it takes an instance out of use.
+	// DefaultMoveCost is the default of Options.MoveCost: about half of the time for which a
+	// move takes an instance out of service.
 	DefaultMoveCost = 750 * time.Millisecond
 
-	// holdMoves is for how many moves' cost a high of the demand is kept: an instance that is
-	// sent to sleep and woken again is moved twice. What is held for as long as that costs is
-	// at most twice as dear as by the best choice in hindsight.
+	// holdMoves is how long a peak of the demand is kept, in multiples of the cost of a move.
+	// It is 2 because an instance that is put to sleep and woken again is moved twice. Holding
+	// an instance for as long as that costs is at most twice as expensive as the best choice
+	// in hindsight.
 	holdMoves = 2
 
-	// trendSpan is how far back the rise of the demand is measured at least: a turn shows
-	// within a few rounds of 200 ms, and a longer span averages it away.
+	// trendSpan is the minimum time over which the rise of the demand is measured. A demand
+	// burst shows within a few rounds of 200 ms, and a longer span averages it away.
 	trendSpan = 300 * time.Millisecond
 
-	// readyTime is added to the time of a move for how far ahead the rise is
-	// followed: a round until the order, the new worker's registration, and the
-	// first look at it.
+	// readyTime is added to the time of a move to get how far ahead the rise of the demand is
+	// extrapolated. It covers the round until the order, the registration of the new worker
+	// and the first poll of it.
 	readyTime = 500 * time.Millisecond
 
-	// needShare is kept free of what a service needs at this moment when others
-	// lack instances.
+	// needMarginShare is the share by which the current need of a service is raised. The
+	// service keeps this margin even when others lack instances.
 	needShare = 0.05
 
-	// headroomShare is kept free of a service's demand.
+	// headroomShare is the share by which the target exceeds the demand of a service.
 	headroomShare = 0.10
 
-	// comingShare is the part of the work in later steps that is expected to
-	// start while an instance is on its way.
+	// comingShare is the share of the work in later steps that is expected to start while an
+	// instance is being moved.
 	comingShare = 0.3
 
-	// settleSlack is added to the time that an instance is dark before it counts
-	// as lost.
+	// settleSlack is added to the time that an answered order takes an instance out of service.
+	// Past the sum, the order counts as lost and is dropped.
 	settleSlack = 3 * time.Second
 
-	// lateMost is how long after it was sent an order without an answer may still
-	// be carried out; the platform speaks of 2 to 12 s.
+	// maxOrderDelay is how long after it was sent an order without an answer may still be
+	// carried out. The platform states 2 to 12 s.
 	lateMost = 13 * time.Second
 
-	// retryPause is the pause before an order that failed is tried again.
+	// retryInterval is the time before a failed or unanswered order is retried.
 	retryPause = 500 * time.Millisecond
 
-	// maintainShare is the most of a pool's awake instances that are closed for
-	// maintenance at one time while there is time left.
+	// maxMaintenanceShare is the maximum share of a pool's awake instances that are closed for
+	// maintenance at one time, unless the wave is late.
 	maintainShare = 0.25
 
-	// hurryShare of a wave's time is kept as reserve: past the rest of it as
-	// many instances are closed as the wave allows.
+	// reservedTimeShare is the share of a wave's time that is held in reserve. Once the rest
+	// has passed, the wave is late and as many instances are closed as it allows.
 	hurryShare = 0.4
 )
 
-// Service is one pool with what its owner says of it.
+// Service is a pool with the load that its owner reports.
 type Service struct {
 	Name   string
 	Asleep bool
 
-	// Known says that Load is fresh; without it nothing of the pool is touched.
+	// Known says that Load is current. Otherwise awake instances of the pool get no new orders.
 	Known bool
 	Load  shard.Load
 }
 
-// Wave is one request for maintenance with how far it has come.
+// Wave is a maintenance request and its progress.
 type Wave struct {
 	outside.Wave
 
@@ -90,19 +89,19 @@
 	Done map[string]bool
 }
 
-// View is what is known at one moment.
+// View is the input of a plan: the state of the fleet at one moment.
 type View struct {
 	Now       time.Time
 	Services  []Service
 	Instances []outside.Instance
 	Waves     []*Wave
 
-	// Evacuated reports whether nothing may start in an availability zone; nil knows of
-	// none.
+	// Evacuated reports whether an availability zone is evacuated, so that nothing may start
+	// there. If nil, no availability zone is evacuated.
 	Evacuated func(zone string) bool
 }
 
-// Move is an order to put an instance into another pool.
+// Move is an order to move an instance to another pool.
 type Move struct {
 	Instance string
 	Worker   outside.Incarnation
@@ -110,7 +109,7 @@
 	To       string
 }
 
-// Maintenance is an order to take an instance down.
+// Maintenance is an order to take an instance down for the maintenance of a wave.
 type Maintenance struct {
 	Instance string
 	Worker   outside.Incarnation
@@ -118,63 +117,67 @@
 	Wave     int64
 }
 
-// Plan is what should be done now.
+// Plan holds the orders to send now and the size of each pool.
 type Plan struct {
-	// Closed maps a service to the workers where nothing new may be placed.
+	// Closed maps a service to the workers on which no new tasks may be placed.
 	Closed       map[string][]string
 	Moves        []Move
 	Maintenances []Maintenance
 
-	// Targets maps a service to the number of instances it should have, and
-	// Counts to the number that it has or is about to have.
+	// Targets maps a service to the number of instances it should have, Counts to the number
+	// it has or is about to have.
 	Targets map[string]int
 	Counts  map[string]int
 
-	// Most maps a service to the number of instances that it could have: all but those
-	// that others need for work in time, and their floors.
+	// MaxInstances maps a service to the number of instances it could have: all except those
+	// that other services need for work that can still meet its deadline, and their minimums.
 	Most map[string]int
 }
 
-// Options are the bounds that a sizer works under.
+// Options holds the times and costs that a Sizer plans with.
 type Options struct {
-	// MoveTime and MaintainTime are how long an instance is dark.
+	// MoveTime and MaintainTime are how long a move and a maintenance take an instance out of
+	// service.
 	MoveTime     time.Duration
 	MaintainTime time.Duration
 
-	// MoveCost is what a move of an instance costs, in the time for which an idle one may be
-	// held awake for the same.
+	// MoveCost is the cost of moving an instance, expressed as the time for which an idle
+	// instance can be kept awake at the same cost.
 	MoveCost time.Duration
 }
 
-// Sizer remembers the demand of each service and what was ordered lately.
+// Sizer makes plans. Between plans it keeps the recent demand of each service and the recent
+// orders.
 type Sizer struct {
 	opts Options
 
 	demand map[string][]sample
 
-	// ordered holds instances that were ordered to do something, until the list
-	// shows them up with another worker.
+	// ordered holds the order under way for each instance. An entry is kept until the instance
+	// is listed as up with another worker, or until the order is too old.
 	ordered map[string]order
 
-	// refused holds pools that an instance can't be moved to.
+	// refused holds, for each instance, the pools that it can't be moved to.
 	refused map[string]map[string]bool
 
-	// blocked holds instances that a holder before may just have ordered.
+	// blocked holds until when an instance may be under an order of a previous controller.
 	blocked map[string]time.Time
 
-	// notBefore holds instances whose last order failed.
+	// notBefore holds the earliest time of the next order for an instance whose last order
+	// failed or that is blocked.
 	notBefore map[string]time.Time
 }
 
-// sample is the demand of a service at a moment, in instances.
+// sample is the demand of a service at one time, in instances.
 type sample struct {
 	at        time.Time
 	instances float64
 
-	// timely is the part of it that can still end in time.
+	// timely is the part of the demand that can still meet its deadline.
 	timely float64
 }
 
+// order is an order that was sent for an instance: a maintenance if wave is set, else a move.
 type order struct {
 	at     time.Time
 	from   string
@@ -182,14 +185,14 @@
 	worker outside.Incarnation
 	wave   int64
 
-	// unsure says that no answer came: the order may have been carried out, or
-	// may be later. It is given again, which does no harm, until one is answered;
-	// tried is when it was given last.
+	// uncertain says that the order got no answer: it may have been carried out already, or may
+	// be later. The order is idempotent and is repeated until an attempt is answered.
+	// lastTriedAt is the time of the last attempt.
 	unsure bool
 	tried  time.Time
 }
 
-// NewSizer returns a sizer that remembers nothing yet.
+// NewSizer returns a Sizer without recorded demand or orders.
 func NewSizer(opts Options) *Sizer {
 	return &Sizer{
 		opts:      opts,
@@ -201,7 +204,7 @@
 	}
 }
 
-// Plan returns what should be done now.
+// Plan computes the plan for the given view and records the demand that it shows.
 func (s *Sizer) Plan(v View) Plan {
 	s.settle(v)
 	r := newRound(s, v)
@@ -214,14 +217,14 @@
 	return r.finish()
 }
 
-// Block leaves an instance alone until an instant, because a holder before may
-// have ordered it to do something that does not show yet.
+// Block prevents orders for an instance until the given time, because an order of a previous
+// controller may be under way and not be listed yet.
 func (s *Sizer) Block(instance string, until time.Time) {
 	s.blocked[instance] = until
 	s.notBefore[instance] = until
 }
 
-// Ordered notes that an order was carried out.
+// Ordered records an order that was answered with success.
 func (s *Sizer) Ordered(instance, to string, worker outside.Incarnation, wave int64, now time.Time) {
 	s.ordered[instance] = order{
 		at:     now,
@@ -231,7 +234,7 @@
 	}
 }
 
-// Unsure notes that an order got no answer.
+// Uncertain records that an order got no answer.
 func (s *Sizer) Unsure(instance, from, to string, worker outside.Incarnation, wave int64, now time.Time) {
 	o, found := s.ordered[instance]
 	if !found || !o.unsure {
@@ -248,18 +251,18 @@
 	s.ordered[instance] = o
 }
 
-// Refused notes that an order had no effect; forever says that the instance
-// does not belong into that pool. One before it without an answer may still have
-// an effect.
-func (s *Sizer) Refused(instance, to string, forever bool, now time.Time) {
-	if o := s.ordered[instance]; o.unsure && !forever {
+// Refused records that an order had no effect. permanent says that the instance can never be
+// moved to that pool. If an earlier attempt got no answer and permanent is false, the order stays
+// uncertain, because the earlier attempt may still take effect.
+func (s *Sizer) Refused(instance, to string, permanent bool, now time.Time) {
+	if o := s.ordered[instance]; o.unsure && !permanent {
 		o.tried = now
 		s.ordered[instance] = o
 		return
 	}
 	delete(s.ordered, instance)
 	s.notBefore[instance] = now.Add(retryPause)
-	if forever && to != "" {
+	if permanent && to != "" {
 		if s.refused[instance] == nil {
 			s.refused[instance] = make(map[string]bool)
 		}
@@ -267,7 +270,8 @@
 	}
 }
 
-// settle forgets orders that the list shows as done, or that came to nothing.
+// dropSettled drops orders that the instance list shows as done, orders that are too old, and
+// orders for instances that are no longer listed.
 func (s *Sizer) settle(v View) {
 	listed := make(map[string]outside.Instance, len(v.Instances))
 	for _, m := range v.Instances {
@@ -276,17 +280,18 @@
 	for id, o := range s.ordered {
 		m, found := listed[id]
 		age := v.Now.Sub(o.at)
-		dark := s.opts.MoveTime
+		downtime := s.opts.MoveTime
 		if o.wave > 0 {
-			dark = s.opts.MaintainTime
+			downtime = s.opts.MaintainTime
 		}
-		// A sleeping instance has no worker by which its return could be told, and one that
-		// starts again under its id is told by the time alone.
+		// A changed worker shows that the instance is back. A sleeping instance has no worker:
+		// its return after an answered order is recognized by the elapsed time alone. A worker
+		// that restarts under the same ID is recognized only when the order is too old.
 		another := m.Worker != o.worker.Worker || (m.Worker == "" && !o.unsure)
-		back := m.State == outside.InstanceUp && another && age > dark
-		forget := dark + settleSlack
+		back := m.State == outside.InstanceUp && another && age > downtime
+		forget := downtime + settleSlack
 		if o.unsure {
-			forget = dark + lateMost
+			forget = downtime + lateMost
 		}
 		if !found || back || age > forget {
 			delete(s.ordered, id)
@@ -294,13 +299,13 @@
 	}
 }
 
-// note takes in the demand of a service. It returns the number of instances that
-// it should have, and the smaller one that it needs at this moment for work that can
-// still end in time, beyond which instances may go to a service that lacks some. Load
-// pattern: one service after the other has its turn of demand, each with more work than
-// room. By all of its backlog the first one keeps what the next ones need: 340 instances'
-// worth of work that was late held 60 of 102 instances for 20 s, in which those whose turn
-// it was had 30 between them.
+// recordDemand records the demand of a service. It returns wanted, the number of instances that
+// the service should have, and needed, the number that it needs now for work that can still meet
+// its deadline. Instances above needed may go to a service that lacks some. Late work is left out
+// of needed because of this load pattern: services have demand bursts one after the other, each
+// with more work than capacity. If the whole backlog counted, the first service would keep the
+// instances that the next ones need: late work worth 340 instances held 60 of 102 instances for
+// 20 s, while the services with current bursts had 30 between them.
 func (s *Sizer) note(service Service, each job.Room, now time.Time) (wanted, needed int) {
 	load := service.Load
 	need := load.Used.Add(load.Waiting)
@@ -332,14 +337,14 @@
 	return max(wanted, floor), max(needed, floor)
 }
 
-// instancesFor returns how many instances of the given room hold what is needed now, and
+// instancesFor returns how many instances of capacity each are needed for the current need and
 // the part of the coming work that starts soon.
 func instancesFor(need, coming, each job.Room) float64 {
 	need.MilliCPU += int(comingShare * float64(coming.MilliCPU))
 	return need.Share(each)
 }
 
-// byName sorts instances for a plan that is the same each time.
+// sortByID sorts instances by ID, so that plans are deterministic.
 func byName(list []*spot) {
 	sort.Slice(list, func(i, j int) bool {
 		return list[i].instance.ID < list[j].instance.ID
--- a/pool/round.go
+++ b/pool/round.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	// costUnit is the time that weighs as much as one run.
+	// costUnit is the run time that adds as much to the cost as one run.
 	costUnit = 100 * time.Millisecond
 
-	// lastingCost is the weight of a lasting task, which has to be moved and is
-	// away for about a second.
+	// longRunningCost is the cost of a long-running task, which has to be moved and is
+	// unavailable for about a second.
 	lastingCost = 10
 
-	// closedBonus is the weight of a worker that would have to be closed first;
-	// it is more than a few seconds of work.
+	// openPenalty is the cost of a worker that would have to be closed first. It is higher
+	// than the cost of a few seconds of work.
 	closedBonus = 100
 )
 
-// spot is one instance as the round sees it.
+// instanceState is the state of an instance within a round.
 type spot struct {
 	instance outside.Instance
 
-	// pool is where the instance is, or is on its way to.
+	// pool is the pool that the instance is in or is being moved to.
 	pool string
 
-	// free says that the instance is up and no order for it is under way.
+	// free says that the instance is up, has no order under way and may be given one.
 	free bool
 
-	// evacuated says that nothing may start there: it counts as no room of its pool, and
-	// no service is given it.
+	// evacuated says that the availability zone of the instance is evacuated. The instance
+	// adds no capacity to its pool and is not moved to another one.
 	evacuated bool
 
-	// load is what its worker does; known says that its owner reports it.
+	// load is the load of the worker. known says that the owner of the service reports it.
 	load  shard.WorkerLoad
 	known bool
 
-	// closed says that the plan closes its worker, and to where the instance is
-	// sent; empty for nowhere.
+	// closed says that this plan closes the worker. to is the pool that the instance is moved
+	// to by this plan, empty if it stays.
 	closed bool
 	to     string
 }
 
-// round is one making of a plan.
+// round holds the state while one plan is made.
 type round struct {
 	sizer *Sizer
 	view  View
 	plan  Plan
 	spots []*spot
 
-	// asleep is the name of the pool whose instances are off; empty for none.
+	// sleepingPool is the name of the pool whose instances are off, empty if there is none.
 	asleep   string
 	services map[string]*Service
 
-	// needs holds how many instances each service can't spare at this moment.
+	// needs holds how many instances each service can't spare now.
 	needs map[string]int
 
-	// count is the number of instances that each pool has or will have, available that of
-	// all that some pool may use.
+	// count is the number of instances that each pool has or is about to have. available is
+	// the number of all instances outside evacuated availability zones.
 	count     map[string]int
 	available int
 
-	// labelCounts holds what labelled has counted since the last change.
+	// labelCounts caches the results of countLabelled until the next change.
 	labelCounts map[poolLabel]int
 }
 
@@ -93,7 +93,7 @@
 	}
 	byName(r.spots)
 	for _, sp := range r.spots {
-		// One that is down runs nothing, and nobody knows for how long.
+		// An instance that is down runs nothing for an unknown time.
 		if sp.instance.State != outside.InstanceDown && !sp.evacuated {
 			r.count[sp.pool]++
 		}
@@ -117,7 +117,7 @@
 			sp.pool = o.to
 		}
 	}
-	// Where an order is under way, the worker is still that of the pool that it leaves.
+	// While an order is under way, the worker still belongs to the pool that it leaves.
 	if service, found := r.services[m.Pool]; found {
 		sp.load, sp.known = service.Load.Workers[m.Worker]
 		sp.known = sp.known && service.Known
@@ -125,7 +125,8 @@
 	return sp
 }
 
-// targets works out how many instances each service should have.
+// computeTargets computes how many instances each service should have. A service with unknown
+// load keeps what it has.
 func (r *round) targets() {
 	for i := range r.view.Services {
 		service := r.view.Services[i]
@@ -144,8 +145,8 @@
 	r.share()
 }
 
-// share cuts the needs down to the instances that there are, in proportion to
-// what each service needs above its floor.
+// limitNeeds reduces the needs to the available instances, in proportion to what each service
+// needs above its floor.
 func (r *round) share() {
 	sum := 0
 	floors := 0
@@ -156,26 +157,26 @@
 	if sum <= r.available || sum == floors {
 		return
 	}
-	part := float64(max(0, r.available-floors)) / float64(sum-floors)
+	ratio := float64(max(0, r.available-floors)) / float64(sum-floors)
 	for name, need := range r.needs {
 		floor := min(need, r.floor(name))
-		r.needs[name] = floor + int(part*float64(need-floor))
+		r.needs[name] = floor + int(ratio*float64(need-floor))
 		r.plan.Targets[name] = min(r.plan.Targets[name], r.needs[name])
 	}
 }
 
-// floor returns how many instances a service keeps whatever others lack: its tasks
-// that must not share a worker run nowhere else.
+// floor returns how many instances a service keeps even when others lack some. It covers tasks
+// that must not share a worker, which need an instance each.
 func (r *round) floor(name string) int {
 	return max(floorInstances, r.services[name].Load.Spread+1)
 }
 
-// room returns the mean room of a service's instances, or of all instances. What the
-// workers say goes first: a room that has shrunk holds less than the list of instances
-// tells, and a service whose workers have half of it needs twice as many.
+// meanCapacity returns the mean capacity of a service's instances, or of all instances if it has
+// none. The capacity that the workers report takes precedence: it may be smaller than the listed
+// one, and a service whose workers have half of it needs twice as many instances.
 func (r *round) room(service string) job.Room {
-	if told := r.services[service].Load.Room; told.MilliCPU > 0 {
-		return told
+	if reported := r.services[service].Load.Room; reported.MilliCPU > 0 {
+		return reported
 	}
 	var sum job.Room
 	count := 0
@@ -201,18 +202,19 @@
 	}
 }
 
-// grow gives services what they lack: empty instances of services that have too many, then
-// sleeping ones, then others of services that have too many. Load pattern: while one service's
-// turn of demand ends, that of the next one grows; each instance that goes straight from one to
-// the other is moved once and not twice, to sleep and back.
+// grow gives services the instances that they lack: empty instances of services above their
+// target, then sleeping ones, then others that services can spare. Instances of other services
+// come first because of this load pattern: the demand burst of one service ends while that of
+// the next one grows. An instance that goes straight from one to the other is moved once instead
+// of twice, to sleep and back.
 func (r *round) grow() {
 	for i := range r.view.Services {
 		r.growLabelled(&r.view.Services[i])
 	}
 	for _, name := range r.byLack() {
-		offer := r.offerTo(name, "")
+		candidates := r.offerTo(name, "")
 		for r.count[name] < r.plan.Targets[name] {
-			sp := offer.next()
+			sp := candidates.next()
 			if sp == nil {
 				break
 			}
@@ -221,7 +223,7 @@
 	}
 }
 
-// byLack returns the services that lack instances, the greatest lack first.
+// byShortage returns the services that lack instances, the largest relative shortage first.
 func (r *round) byLack() []string {
 	var names []string
 	for name, target := range r.plan.Targets {
@@ -242,9 +244,10 @@
 	return names
 }
 
-// keeps returns how many instances a service keeps when another lacks some. For what the
-// other needs now it gives up all that it does not need itself; for what the other only
-// wants, as room for work that is late, it gives up no more than it wants itself.
+// retainedCount returns how many instances the service name retains when the service to lacks
+// some. While to is below its need, name gives up everything that it does not need itself. Once
+// to is only below its target (for late work, say), name gives up only what exceeds its own
+// target.
 func (r *round) keeps(name, to string) int {
 	if r.count[to] < r.needs[to] {
 		return r.needs[name]
@@ -252,6 +255,7 @@
 	return r.plan.Targets[name]
 }
 
+// movable reports whether the instance may be moved to a pool.
 func (r *round) movable(sp *spot, to string) bool {
 	if !sp.free || sp.closed || sp.evacuated || sp.pool == to || r.sizer.refused[sp.instance.ID][to] {
 		return false
@@ -262,7 +266,7 @@
 	return sp.known && !sp.load.Draining && sp.load.Reached && !r.kept(sp)
 }
 
-// shrink sends instances that nobody needs to sleep.
+// shrink puts instances above a service's target to sleep.
 func (r *round) shrink() {
 	if r.asleep == "" {
 		return
@@ -283,7 +287,8 @@
 	}
 }
 
-// leastUsed returns the instances of a service, those that are emptied soonest first.
+// leastUsed returns the instances of a service that may be put to sleep, those that are emptied
+// soonest first. It returns nil if the service is not above its target.
 func (r *round) leastUsed(name string) []*spot {
 	if r.count[name] <= r.plan.Targets[name] {
 		return nil
@@ -298,8 +303,9 @@
 	return list
 }
 
-// send moves an instance if nothing runs there and its worker is closed, and
-// closes the worker otherwise.
+// reassign plans to give an instance to another pool. It orders the move if the instance is
+// asleep, or if nothing runs on it and its worker is closed. The worker of an awake instance is
+// closed in either case.
 func (r *round) send(sp *spot, to string) {
 	from := sp.pool
 	r.count[from]--
@@ -320,7 +326,7 @@
 	}
 }
 
-// target returns the pool that the instance is in or is sent to by this plan.
+// target returns the pool that the instance is in or is moved to by this plan.
 func (sp *spot) target() string {
 	if sp.to != "" {
 		return sp.to
@@ -328,13 +334,13 @@
 	return sp.pool
 }
 
-// awake reports whether a worker runs on the instance.
+// hasWorker reports whether the instance is up and has a worker.
 func (sp *spot) awake() bool {
 	return sp.instance.State == outside.InstanceUp && sp.instance.Worker != ""
 }
 
-// incarnation returns which life of the instance's worker this is, as far as its service
-// tells.
+// incarnation returns the incarnation of the instance's worker, as far as the owner of the
+// service reports it.
 func (sp *spot) incarnation() outside.Incarnation {
 	return outside.Incarnation{
 		Worker: sp.instance.Worker,
@@ -342,14 +348,14 @@
 	}
 }
 
-// empty reports whether nothing runs on the instance's worker, nor will.
+// isEmpty reports whether nothing runs on the instance's worker and nothing can start there.
 func (sp *spot) empty() bool {
 	return sp.load.Known && sp.load.Closed && sp.load.Runs == 0
 }
 
-// cost orders awake instances by how long it takes to empty them: an empty worker
-// goes at once, and one with lasting tasks last. What was begun is ended first,
-// since another choice would undo it.
+// cost returns the cost of emptying an awake instance. An empty worker costs the least, one with
+// long-running tasks the most. Workers that are closed already come before open ones: choosing
+// others would undo the work of closing them.
 func (sp *spot) cost() int {
 	cost := sp.load.Runs + int(sp.load.Busy/costUnit) + lastingCost*sp.load.Lasting
 	if !sp.load.Closed {
@@ -358,6 +364,7 @@
 	return cost
 }
 
+// finish fills in the remaining fields of the plan and returns it.
 func (r *round) finish() Plan {
 	for _, workers := range r.plan.Closed {
 		sort.Strings(workers)
--- a/pool/unsure.go
+++ b/pool/uncertain.go
@@ -4,20 +4,22 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// guard keeps workers closed that an order may yet take: one of this holder got no answer, or a
-// holder before may just have given one. What began there was ended by it.
+// keepClosed keeps workers closed whose instance may still be taken by an order: an order of this
+// controller got no answer, or a previous controller may have sent one just before. Tasks that
+// started on such a worker would be killed by the order.
 func (r *round) guard() {
 	for _, sp := range r.spots {
 		o, ordered := r.sizer.ordered[sp.instance.ID]
-		open := (ordered && o.unsure) || r.view.Now.Before(r.sizer.blocked[sp.instance.ID])
-		if open && sp.awake() {
+		pending := (ordered && o.unsure) || r.view.Now.Before(r.sizer.blocked[sp.instance.ID])
+		if pending && sp.awake() {
 			r.plan.Closed[sp.instance.Pool] = append(r.plan.Closed[sp.instance.Pool], sp.instance.Worker)
 		}
 	}
 }
 
-// repeat gives orders without an answer again, once nothing runs on the instance: the first
-// one may have had no effect, and tasks may have begun there since.
+// retryUncertain repeats orders that got no answer, because the first attempt may have had no
+// effect. It waits until nothing runs on the instance, since tasks may have started there in the
+// meantime.
 func (r *round) repeat() {
 	for _, sp := range r.spots {
 		o, found := r.sizer.ordered[sp.instance.ID]
