--- a/pool/backlog_test.go
+++ b/pool/backlog_test.go
@@ -9,9 +9,9 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// turnsWithMoreWorkThanRoom returns a fleet of which service a has had its turn, with
-// more work than room: all of its instances work, and a backlog for ten times as many
-// waits. Now service b has its turn.
+// newOverloadedFleet returns a fleet at the change from a demand burst of service a to one of
+// service b. All instances of a are busy, and its backlog needs ten times as many. If late is
+// set, the work of a can no longer end in time.
 func turnsWithMoreWorkThanRoom(late bool) *fleet {
 	f := newFleet(map[string]int{
 		"a": 60,
@@ -33,18 +33,18 @@
 	return f
 }
 
-// TestLateBacklogGivesInstancesToTheNextTurn replays the change from one turn to the
-// next: what can't end in time any more does not hold instances that work in time needs.
+// TestLateBacklogReleasesInstances checks that work that can no longer end in time does not
+// hold instances that another service needs for work that can.
 func TestLateBacklogGivesInstancesToTheNextTurn(t *testing.T) {
 	is := is.New(t)
 	f := turnsWithMoreWorkThanRoom(true)
 	plan := f.plan()
 	is.True(plan.Counts["b"] >= 30)
-	is.True(plan.Counts["a"] >= 3) // It keeps its floor.
+	is.True(plan.Counts["a"] >= 3) // Service a keeps its minimum.
 }
 
-// TestBacklogThatCanEndInTimeSharesInstances covers two services that both can use
-// every instance: neither goes without.
+// TestTimelyBacklogSharesInstances covers two services that could each use every instance:
+// both get some.
 func TestBacklogThatCanEndInTimeSharesInstances(t *testing.T) {
 	is := is.New(t)
 	f := turnsWithMoreWorkThanRoom(false)
@@ -53,8 +53,9 @@
 	is.True(plan.Counts["b"] >= 3)
 }
 
-// TestLateBacklogTakesOnlyWhatNobodyWants covers a late backlog beside a calm service: it
-// gets what sleeps, and nothing of what the other keeps for its next jobs.
+// TestLateBacklogTakesOnlyUnneededInstances covers a late backlog of one service while the other
+// has little demand. The late backlog takes none of the instances that the other service keeps
+// for its next jobs.
 func TestLateBacklogTakesOnlyWhatNobodyWants(t *testing.T) {
 	is := is.New(t)
 	f := turnsWithMoreWorkThanRoom(true)
@@ -68,7 +69,8 @@
 	is.Equal(len(plan.Closed["b"]), 0)
 }
 
-// TestLateWorkStillGetsSleepingInstances covers a late backlog while others sleep.
+// TestLateBacklogWakesInstances covers a service whose whole backlog is late while sleeping
+// instances are available.
 func TestLateWorkStillGetsSleepingInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
--- a/pool/evacuation_test.go
+++ b/pool/evacuation_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// evacuate moves the first instances of a pool to an evacuated zone.
+// evacuate puts the first count instances of a pool into an evacuated availability zone and
+// returns their IDs.
 func (f *fleet) evacuate(pool string, count int) map[string]bool {
 	const zone = "evacuated"
 	moved := make(map[string]bool)
@@ -21,8 +22,8 @@
 	return moved
 }
 
-// TestPoolsTakeNoInstanceOfAnEvacuatedZone covers a service that needs instances while half of
-// those asleep can't be used.
+// TestInstancesInEvacuatedZoneAreNotWoken covers a service that needs instances while half of
+// the sleeping ones are in an evacuated availability zone.
 func TestPoolsTakeNoInstanceOfAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestRoomIsOrderedForWhatAnEvacuatedZoneHeld covers a service that loses the use of a zone: its
-// instances there count for nothing, whatever still runs on them.
+// TestEvacuatedInstancesAreReplaced covers a service with instances in an availability zone that
+// is evacuated. These instances no longer count as its own, even if tasks still run there.
 func TestRoomIsOrderedForWhatAnEvacuatedZoneHeld(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -56,7 +57,7 @@
 	for _, move := range plan.Moves {
 		is.Equal(move.From, asleep)
 	}
-	// They run what they run, and nothing sends it away.
+	// Tasks that run in the evacuated zone are left to finish.
 	is.Equal(len(plan.Closed["a"]), 0)
 	is.True(plan.Most["a"] <= 28-3)
 }
--- a/pool/hold_test.go
+++ b/pool/hold_test.go
@@ -11,11 +11,11 @@
 	"lemonstream.dev/lemonstream/pool"
 )
 
-// round is the time between two plans in these tests.
+// planInterval is the time between two plans in these tests.
 const round = 200 * time.Millisecond
 
-// heldFor returns for how long a service that has had no demand for a while still wants the
-// instances of its last turn.
+// holdTime returns for how long during gap, a time without demand after a demand burst, a
+// service still targets more than minInstances. A move of an instance costs cost.
 func heldFor(cost, gap time.Duration) time.Duration {
 	f := newFleet(map[string]int{
 		"a":    3,
@@ -39,12 +39,13 @@
 	return held
 }
 
-// floor is what a service keeps without any demand.
+// minInstances is the number of instances that a service keeps without any demand.
 const floor = 3
 
-// TestInstanceIsHeldForAsLongAsItsMovesCost compares what holding costs with the best choice in
-// hindsight, for any pause between two turns of demand and any cost of a move: to hold the
-// instance for the whole pause, or to move it twice.
+// TestHoldCostIsAtMostTwiceOptimal checks that holding instances between two demand bursts costs
+// at most twice as much as the best choice in hindsight, for any pause and any cost of a move. The
+// choices are to hold an instance for the whole pause or to move it twice. Two plan intervals of
+// rounding are allowed.
 func TestInstanceIsHeldForAsLongAsItsMovesCost(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		cost := time.Duration(rapid.IntRange(1, 100).Draw(t, "cost")) * 100 * time.Millisecond
@@ -55,14 +56,14 @@
 			spent += moves
 		}
 		if best := min(gap, moves); spent > 2*best+2*round {
-			t.Fatalf("a move costs %v, and a pause of %v cost %v; the best choice costs %v", cost, gap, spent, best)
+			t.Fatalf("move cost %v, pause %v: holding and moving cost %v, best choice costs %v", cost, gap, spent, best)
 		}
 	})
 }
 
-// TestDearMovesHoldInstancesOverAPause covers a deployment in which a move costs as much as ten
-// seconds of an instance held: turns come back after 13 s, and instances were moved twice for
-// each pause.
+// TestExpensiveMovesHoldInstancesBetweenBursts covers a deployment in which a move costs as much
+// as holding an instance for 10 s. Demand bursts recur after 13 s, and instances were moved twice
+// in each pause although holding them was cheaper.
 func TestDearMovesHoldInstancesOverAPause(t *testing.T) {
 	is := is.New(t)
 	const pause = 13 * time.Second
--- a/pool/large_bench_test.go
+++ b/pool/large_bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkPlanOfALargeFleet plans for 6,000 instances while most of those that are awake are
-// not needed any more, and while a service needs some hundred of those asleep.
+// BenchmarkPlanLargeFleet plans for 6,000 instances. In "shrinks" most awake instances are no
+// longer needed; in "grows" a service needs some hundreds of the sleeping ones.
 func BenchmarkPlanOfALargeFleet(b *testing.B) {
 	for name, counts := range map[string]map[string]int{
 		"shrinks": {"a": 2500, "b": 2500, asleep: 1000},
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -20,7 +20,7 @@
 	MemoryMB: 32_000,
 }
 
-// sizing returns the bounds of a sizer whose moves take a time.
+// sizerOptions returns the options of a sizer for which a move takes the given time.
 func sizing(move time.Duration) pool.Options {
 	return pool.Options{
 		MoveTime:     move,
@@ -29,7 +29,7 @@
 	}
 }
 
-// fleet is a view under construction.
+// fleet is a simulated fleet: the view that a test prepares and the sizer under test.
 type fleet struct {
 	view  pool.View
 	sizer *pool.Sizer
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// plan makes a plan and lets the workers be closed as it says.
+// plan advances the time by one round of 200 ms, makes a plan and marks the workers as closed or
+// open accordingly.
 func (f *fleet) plan() pool.Plan {
 	f.view.Now = f.view.Now.Add(200 * time.Millisecond)
 	plan := f.sizer.Plan(f.view)
@@ -106,9 +107,9 @@
 		"a": 8,
 		"b": 3,
 	})
-	is.Equal(len(f.plan().Moves), 0) // Workers are closed first,
+	is.Equal(len(f.plan().Moves), 0) // Workers are closed first.
 	moves := f.plan().Moves
-	is.Equal(len(moves), 5) // and moved once nothing is placed there.
+	is.Equal(len(moves), 5) // Instances are moved once their workers are closed.
 	for _, move := range moves {
 		is.Equal(move.To, asleep)
 	}
@@ -144,8 +145,8 @@
 	}
 	first := f.plan().Closed["a"]
 	is.Equal(len(first), 1)
-	// Its lasting tasks went to a worker that is now the fullest, and another
-	// has become the emptiest.
+	// The load of the other workers drops below that of the closed worker, so it is no longer
+	// the emptiest.
 	for id, load := range workers {
 		if id != first[0] {
 			load.Runs = 1
@@ -167,8 +168,8 @@
 	is.True(len(f.plan().Moves) >= 6)
 }
 
-// TestShrunkRoomWakesInstances lets the workers of a service lose half of their room. The
-// list of instances goes on telling the room that they are built with.
+// TestReducedCapacityWakesInstances covers a service whose workers report half of their former
+// capacity while the list of instances still shows the original one.
 func TestShrunkRoomWakesInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -196,7 +197,7 @@
 	f.service("b").Load.Waiting = cpu(200)
 	f.plan()
 	plan := f.plan()
-	is.True(len(plan.Moves) >= 10) // The high of a moment ago must not hold them.
+	is.True(len(plan.Moves) >= 10) // The recent peak of demand must not hold them.
 	for _, move := range plan.Moves {
 		is.Equal(move.To, "b")
 	}
@@ -223,7 +224,7 @@
 	plan := f.plan()
 	is.Equal(len(plan.Maintenances), 4)
 	for _, m := range plan.Maintenances {
-		is.Equal(m.Pool, asleep) // Sleeping instances disturb nobody.
+		is.Equal(m.Pool, asleep) // Sleeping instances go first, since no tasks run there.
 		f.sizer.Ordered(m.Instance, "", m.Worker, m.Wave, f.view.Now)
 		wave.Done[m.Instance] = true
 	}
@@ -260,14 +261,14 @@
 		f.service("b").Load.Used = cpu(cores)
 		f.plan()
 	}
-	// Now another service lacks instances, and this one will soon.
+	// Service a lacks instances now, and b will soon.
 	f.service("a").Load.Used = cpu(330)
 	f.service("b").Load.Used = cpu(110)
 	is.Equal(len(f.plan().Closed["b"]), 0)
 }
 
-// TestWorkerThatWasNotLookedAtIsNotEmpty covers a new owner of a service, which
-// reports no runs before it has looked.
+// TestUnpolledWorkerIsNotEmpty covers a new owner of a service, which reports no runs on a worker
+// before its first poll.
 func TestWorkerThatWasNotLookedAtIsNotEmpty(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -340,16 +341,16 @@
 	wave.Instances = []string{f.view.Instances[0].ID}
 	f.view.Waves = []*pool.Wave{wave}
 	is.Equal(len(f.plan().Closed["a"]), 0)
-	// With another instance of the label its tasks have somewhere to go.
+	// A second instance with the label can run the tasks instead.
 	f.view.Instances[len(f.view.Instances)-1].Labels = []string{"x"}
 	plan := f.plan()
 	is.Equal(len(plan.Closed["a"]), 1)
 	is.Equal(len(plan.Moves), 1)
 }
 
-// TestOrderWithoutAnswerIsGivenAgain covers an order that may take effect seconds
-// later: until one is answered, it counts as under way, also against the bound of
-// its wave.
+// TestUnansweredOrderIsRepeated covers an unanswered order, which may take effect seconds later.
+// Until a repetition is answered, the order counts as in progress, also against the limit of its
+// wave.
 func TestOrderWithoutAnswerIsGivenAgain(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -374,7 +375,7 @@
 	is.Equal(len(first), 1)
 	f.sizer.Unsure(first[0].Instance, first[0].Pool, "", first[0].Worker, first[0].Wave, f.view.Now)
 	repeated := 0
-	for i := 0; i < 50; i++ { // 10 s, within which the order may be carried out.
+	for i := 0; i < 50; i++ { // 10 s, within which the order may still take effect.
 		for _, m := range f.plan().Maintenances {
 			is.Equal(m, first[0])
 			repeated++
@@ -386,11 +387,11 @@
 		is.Equal(m, first[0])
 	}
 	f.sizer.Ordered(first[0].Instance, "", first[0].Worker, first[0].Wave, f.view.Now)
-	is.Equal(len(f.plan().Maintenances), 0) // Now it is down for sure.
+	is.Equal(len(f.plan().Maintenances), 0) // The instance is now known to be down.
 }
 
-// TestScarcityLeavesRoomForTasksThatMustNotShareAWorker covers a peak of all
-// services at once, beside lasting tasks with one for each worker.
+// TestScarcityKeepsInstancesForSpreadTasks covers a demand peak that exceeds the fleet while a
+// service has long-running tasks of which no two may share a worker.
 func TestScarcityLeavesRoomForTasksThatMustNotShareAWorker(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -420,9 +421,9 @@
 	is.Equal(moves[0].To, "a")
 }
 
-// TestRiseIsFollowedAheadForAsLongAsAMoveTakes lets demand rise by the same steps
-// where a move takes 0.8, 1.5 and 3 s: what is ordered now comes that much later, and
-// has to meet what the demand will be then.
+// TestDemandIsExtrapolatedOverMoveTime lets demand rise by the same steps where a move takes 0.8,
+// 1.5 and 3 s. An instance that is ordered now arrives after that time and has to meet the demand
+// at that moment.
 func TestRiseIsFollowedAheadForAsLongAsAMoveTakes(t *testing.T) {
 	is := is.New(t)
 	targets := make([]int, 0, 3)
@@ -435,18 +436,19 @@
 		f.sizer = pool.NewSizer(sizing(move))
 		target := 0
 		for step := range 4 {
-			// 40 cores more in each round of 200 ms: 200 cores a second.
+			// 40 cores more in each round of 200 ms, that is 200 cores a second.
 			f.service("a").Load.Waiting = cpu(40 * step)
 			target = f.plan().Targets["a"]
 		}
 		targets = append(targets, target)
 	}
-	// 120 cores, 7.5 instances, have come within 600 ms.
+	// Demand rose by 120 cores, that is 7.5 instances, within 600 ms.
 	is.Equal(targets, []int{27, 36, 57})
 }
 
-// Turns of demand last a few seconds. Pools followed one only in its fourth round, and kept its
-// high for half as long as the turn itself had lasted, while instances stood idle.
+// TestDemandBurstIsFollowedAndReleasedQuickly covers demand bursts of a few seconds. Pools reacted
+// to a burst only in its fourth round and held its peak for half as long as the burst had lasted,
+// while instances were idle.
 func TestTurnOfDemandIsFollowedSoonAndLetGoSoon(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -459,7 +461,7 @@
 		f.service("a").Load.Waiting = cpu(40 * step)
 		target = f.plan().Targets["a"]
 	}
-	is.True(target >= 30) // It asks for five instances now, and for as many again in each 400 ms.
+	is.True(target >= 30) // Demand is five instances now and grows by as many in each 400 ms.
 	f.service("a").Load.Waiting = job.Room{}
 	for range 8 {
 		target = f.plan().Targets["a"]
--- a/pool/transfer_test.go
+++ b/pool/transfer_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// The fleet's services have turns of demand, one after the other. At the end of a turn instances
-// were sent to sleep, and in the same rounds others were woken for the next turn: two moves for
-// each instance that could have gone straight from one service to the other with one.
+// TestInstanceMovesDirectlyBetweenBursts covers services that have demand bursts one after the
+// other. At the end of a burst instances were put to sleep while others were woken in the same
+// rounds for the next burst. That took two moves where one direct move is enough.
 func TestInstanceGoesStraightFromOneTurnToTheNext(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
@@ -17,7 +17,7 @@
 		asleep: 20,
 	})
 	f.plan()
-	f.plan() // What a does not need is closed by now, and goes to sleep.
+	f.plan() // Instances that a does not need are closed by now, about to be put to sleep.
 	f.service("b").Load.Used = cpu(48)
 	f.service("b").Load.Waiting = cpu(80)
 	straight := 0
@@ -30,8 +30,8 @@
 	is.Equal(straight, 17)
 }
 
-// TestServiceIsNotLeftWaitingForAnotherToEmpty covers a service that has more than it needs, all
-// of it at work: sleeping instances are there sooner.
+// TestSleepingInstancesArePreferredToBusyOnes covers a service with more instances than it needs,
+// all of them busy. Sleeping instances are available sooner than busy ones can be drained.
 func TestServiceIsNotLeftWaitingForAnotherToEmpty(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
--- a/pool/unsure_test.go
+++ b/pool/uncertain_test.go
@@ -9,24 +9,21 @@
 	"lemonstream.dev/lemonstream/pool"
 )
 
-// An order to an instance got no answer. From the next round on its worker was open again: the
-// plan closed only those that it sent away itself. Tasks started there, and the repetition of
-// the order, which asked nothing, ended them: more of a lasting step than it may miss.
-//
-//	12.985 instance order without success instance=m-2904a worker=i-8eab648555 (no answer)
-//	15.001 worker closed worker=i-8eab648555 runs=0
-//	16.422 instance ordered instance=m-2904a worker=i-8eab648555
+// TestWorkerOfUnansweredOrderStaysClosed covers an order to an instance that got no answer. The
+// next plan opened the instance's worker again because it closed only workers that it moved away
+// itself. Tasks started there. The order was repeated without a check for running tasks and ended
+// them, so that a long-running step exceeded its disruption budget.
 func TestWorkerOfAnOrderWithoutAnswerStaysClosed(t *testing.T) {
 	is := is.New(t)
 	f, move := orderWithoutAnswer(is)
-	for range 30 { // 6 s, within which it may be carried out.
+	for range 30 { // 6 s, within which the order may still take effect.
 		plan := f.plan()
 		is.True(slices.Contains(plan.Closed[move.From], move.Worker.Worker))
 	}
 }
 
-// TestOrderIsNotRepeatedWhileItsWorkerRunsSomething lets a task start on such a worker all the
-// same.
+// TestOrderIsNotRepeatedWhileWorkerIsBusy covers a task that starts on the worker of an unanswered
+// order although the worker is closed. The order is repeated only after the task has ended.
 func TestOrderIsNotRepeatedWhileItsWorkerRunsSomething(t *testing.T) {
 	is := is.New(t)
 	f, move := orderWithoutAnswer(is)
@@ -52,7 +49,8 @@
 	is.True(repeated > 0)
 }
 
-// orderWithoutAnswer returns a fleet in which an order to an idle instance has got no answer.
+// unansweredOrder returns a fleet in which an order to move an idle instance got no answer, and
+// that order.
 func orderWithoutAnswer(is *is.I) (*fleet, pool.Move) {
 	f := newFleet(map[string]int{
 		"a":    8,
@@ -71,6 +69,6 @@
 		f.sizer.Unsure(move.Instance, move.From, move.To, move.Worker, 0, f.view.Now)
 		return f, move
 	}
-	is.Fail() // No instance was sent to sleep.
+	is.Fail() // No instance was put to sleep.
 	return f, pool.Move{}
 }
