--- a/place/blame.go
+++ b/place/faulty.go
@@ -2,9 +2,9 @@
 
 import "sort"
 
-// blame finds jobs that fail wherever they go and workers on which everything
-// fails. A failure counts against a job only on workers that are not blamed,
-// and against a worker only by jobs that fail nowhere else.
+// findFaulty finds jobs that fail on several workers and workers on which several
+// jobs fail. A failure counts against a job only if the worker is not faulty, and
+// against a worker only if the job has failed on no other worker.
 func (p Pool) blame(steps *Steps) {
 	only := make(map[string]int)
 	for i := range p.Jobs {
--- a/place/place.go
+++ b/place/place.go
@@ -1,7 +1,7 @@
-// Package place puts jobs on the workers of a pool. It is pure: one call looks
-// at the whole pool and returns the next steps. Urgent jobs start at once by
-// checkpointing others, every job finishes in the end, and what runs is left
-// where it is.
+// Package place assigns jobs to the workers of a pool. It does no I/O: one call
+// takes the state of the whole pool and returns the next steps. An urgent job that
+// finds no free worker starts at once by checkpointing other jobs. Running jobs are
+// not moved otherwise, and every job finishes in the end.
 package place
 
 import (
@@ -13,29 +13,29 @@
 
 // Reasons for setting a job aside.
 const (
-	// ReasonFails means that the job failed on several workers on which other
-	// jobs do well.
+	// ReasonFails means that the job failed on several workers that are not faulty.
 	ReasonFails Reason = "fails-on-several-workers"
 
-	// ReasonLosesWorkers means that one worker after the other ended under it.
+	// ReasonLosesWorkers means that several workers ended while they ran the job.
 	ReasonLosesWorkers Reason = "its-workers-end"
 
-	// ReasonNeverFits means that no worker of the pool, empty, could hold it.
+	// ReasonNeverFits means that the job exceeds the size of every worker of the pool.
 	ReasonNeverFits Reason = "no-worker-can-hold-it"
 )
 
 const (
-	// blameJobAfter is the number of different good workers a job must fail
-	// on, or that must end under it, before the job is blamed. A job that is not
-	// blamed for its workers takes the whole pool, one after the other.
+	// minFailedWorkers is the number of distinct workers on which a job must fail, or
+	// that must end while they run it, before the job is set aside. Workers that are
+	// faulty themselves do not count as failures. Without this limit, a job that
+	// crashes its workers would take down the whole pool, one worker after the other.
 	blameJobAfter = 3
 
-	// blameWorkerAfter is the number of different jobs that must fail on a
-	// worker, each of which did not fail elsewhere, before it is blamed.
+	// minFailedJobs is the number of distinct jobs that must fail on a worker, and on
+	// no other worker, before the worker counts as faulty.
 	blameWorkerAfter = 3
 
-	// protectAfter is how often a job may be checkpointed before nothing but
-	// an urgent job with no other place may do it again.
+	// protectAfter is the number of checkpoints after which a job is checkpointed
+	// again only if an urgent job would find no other place.
 	protectAfter = 3
 )
 
@@ -44,57 +44,57 @@
 	ID   string
 	Team string
 
-	// Urgent jobs start at once; the others wait their turn.
+	// Urgent jobs start at once; the others wait in the queue.
 	Urgent bool
 
-	// Size is what the job takes: what was learned of it where it ran, and
-	// what was declared before.
+	// Size is the resources that the job takes: the declared size until usage has
+	// been observed, then the estimate from that usage.
 	Size Size
 
-	// Waiting is since when the job waits, or was last checkpointed.
+	// Waiting is the time at which the job was queued or last checkpointed.
 	Waiting time.Time
 
-	// Worker is where it runs; empty while it waits.
+	// Worker is the ID of the worker that runs the job; empty while the job waits.
 	Worker string
 
-	// Checkpoints counts how often it was checkpointed.
+	// Checkpoints counts how often the job was checkpointed.
 	Checkpoints int
 
-	// FailedOn are the workers on which it failed.
+	// FailedOn is the set of workers on which the job failed.
 	FailedOn map[string]bool
 
-	// LostOn names the lives of workers that ended while it ran there.
+	// LostOn is the set of worker incarnations that ended while the job ran there.
 	LostOn map[string]bool
 }
 
-// Pool is what a call looks at.
+// Pool is the state of a pool: its workers, jobs and quotas.
 type Pool struct {
 	Workers []Worker
 	Jobs    []Job
 
-	// Quotas bounds what a team's jobs may take together; a team without one
-	// is not bounded.
+	// Quotas limits the resources that a team's jobs may take together. A team
+	// without an entry is not limited.
 	Quotas map[string]Size
 }
 
 // Reason says why a job is set aside.
 type Reason string
 
-// Size is what a job takes or a worker has.
+// Size is the resources that a job takes or a worker has.
 type Size store.Resources
 
-// Steps are what to do next. Checkpoints come before starts.
+// Steps are the actions to carry out next. Checkpoints come before starts.
 type Steps struct {
-	// Start maps a job to the worker to start it on.
+	// Start maps the ID of a job to the worker to start it on.
 	Start map[string]string
 
-	// Checkpoint are the jobs to checkpoint and put back in the queue.
+	// Checkpoint lists the jobs to checkpoint and put back in the queue.
 	Checkpoint []string
 
-	// SetAside maps a job to the reason why it will not be tried again.
+	// SetAside maps the ID of a job to the reason why it will not be tried again.
 	SetAside map[string]Reason
 
-	// TakeOut are the workers that fail everything.
+	// TakeOut lists the faulty workers, sorted. They get no new jobs.
 	TakeOut []string
 }
 
@@ -103,17 +103,17 @@
 	ID   string
 	Size Size
 
-	// Leaving is whether it gets no new jobs.
+	// Leaving means that the worker gets no new jobs.
 	Leaving bool
 }
 
-// slot is a worker with what is free on it.
+// slot is a worker with its free resources.
 type slot struct {
 	worker Worker
 	free   Size
 
-	// jobs run on the worker; they are filled in when a job must be displaced,
-	// which few rounds need.
+	// jobs are the jobs that run on the worker. They are filled in only when a job
+	// must be displaced, which is rare.
 	jobs []*Job
 }
 
@@ -157,31 +157,32 @@
 	return steps
 }
 
-// Learn returns the size to reckon with for a job that was declared to take
-// declared and was seen to take at most seen: usage counts for more than the
-// declaration, with an eighth on top, because usage lags. It never returns
-// less than a twentieth of what was declared.
+// EstimateSize returns the size to plan with for a job with the given declared size
+// and observed peak usage. Observed usage replaces the declared size, plus an eighth
+// because usage is reported late. The result is at least a twentieth of the declared
+// size. Accelerators are always as declared.
 func Learn(declared, seen Size) Size {
-	learn := func(declared, seen int64) int64 {
+	estimate := func(declared, seen int64) int64 {
 		if seen == 0 {
 			return declared
 		}
 		return max(seen+seen/8, declared/20)
 	}
 	return Size{
-		Milliprocessors: learn(declared.Milliprocessors, seen.Milliprocessors),
-		Memory:          learn(declared.Memory, seen.Memory),
+		Milliprocessors: estimate(declared.Milliprocessors, seen.Milliprocessors),
+		Memory:          estimate(declared.Memory, seen.Memory),
 		Accelerators:    declared.Accelerators,
 	}
 }
 
-// best returns the slot that the job fits most tightly, so that large gaps
-// stay whole; a worker on which the job failed is not tried again. A job that
-// lost a worker goes where most is free, apart from others: packed tightly, its
-// companions lose each worker with it and are set aside as well.
+// bestFit returns the slot with the least free resources after placing the job, so
+// that large free slots remain. A worker on which the job failed is not tried again.
+// A job that lost a worker goes to the slot with the most free resources instead: if
+// it were packed with others and crashed its workers again, they would lose as many
+// workers as the job and be set aside as well.
 func best(slots []*slot, job *Job) *slot {
 	var chosen *slot
-	var least float64
+	var minLeft float64
 	for _, s := range slots {
 		if s.worker.Leaving || job.FailedOn[s.worker.ID] || !job.Size.within(s.free) {
 			continue
@@ -190,15 +191,15 @@
 		if len(job.LostOn) > 0 {
 			left = -left
 		}
-		if chosen == nil || left < least {
+		if chosen == nil || left < minLeft {
 			chosen = s
-			least = left
+			minLeft = left
 		}
 	}
 	return chosen
 }
 
-// couldHold reports whether some worker, empty, could hold the job.
+// fitsAnyWorker reports whether the job fits on at least one worker when it is empty.
 func (p Pool) couldHold(job *Job) bool {
 	for _, worker := range p.Workers {
 		if job.Size.within(worker.Size) {
@@ -208,9 +209,10 @@
 	return false
 }
 
-// makeRoom finds the worker on which the fewest jobs need a checkpoint to make
-// room for an urgent job. Urgent jobs are never checkpointed, and jobs that
-// often were only where there is no other way.
+// makeRoom picks the worker on which the fewest jobs must be checkpointed to fit an
+// urgent job, and adds those checkpoints to steps. Urgent jobs are never
+// checkpointed. Jobs that reached protectAfter are checkpointed only if no other
+// choice fits. makeRoom returns nil if the job fits nowhere.
 func (p Pool) makeRoom(slots []*slot, job *Job, steps *Steps) *slot {
 	for _, protect := range []bool{true, false} {
 		var chosen *slot
@@ -237,8 +239,8 @@
 	return nil
 }
 
-// queue returns the waiting jobs in order: urgent ones first, then those that
-// wait longest, so that every job's turn comes.
+// queue returns the waiting jobs in order: urgent jobs first, then by waiting time,
+// longest first, so that no job starves.
 func (p Pool) queue() []*Job {
 	var waiting []*Job
 	for i := range p.Jobs {
@@ -255,7 +257,8 @@
 	return waiting
 }
 
-// slots returns the workers with what is free on them, also by their ids.
+// slots returns the workers with their free resources, as a list and by worker ID.
+// Workers in bad, which must be sorted, are marked as leaving.
 func (p Pool) slots(bad []string) (slots []*slot, byID map[string]*slot) {
 	byID = make(map[string]*slot, len(p.Workers))
 	slots = make([]*slot, 0, len(p.Workers))
@@ -279,7 +282,7 @@
 	return slots, byID
 }
 
-// fillJobs notes at each worker the jobs that run there.
+// fillJobs adds the running jobs to the slots of their workers.
 func (p Pool) fillJobs(byID map[string]*slot) {
 	for i := range p.Jobs {
 		job := &p.Jobs[i]
@@ -289,7 +292,7 @@
 	}
 }
 
-// used returns what the jobs of each team with a quota take.
+// used returns the resources taken by running jobs, for each team with a quota.
 func (p Pool) used() map[string]Size {
 	used := make(map[string]Size)
 	if len(p.Quotas) == 0 {
@@ -304,7 +307,7 @@
 	return used
 }
 
-// remove takes a job off the slot.
+// remove removes a job from the slot and frees its resources.
 func (s *slot) remove(job *Job) {
 	s.free = s.free.plus(job.Size)
 	for i, other := range s.jobs {
@@ -315,8 +318,9 @@
 	}
 }
 
-// victims returns the jobs to checkpoint so that job fits, those that were
-// checkpointed least often first.
+// victims returns the jobs to checkpoint so that job fits, those with the fewest
+// checkpoints first, and whether that is enough. With protect set, jobs that reached
+// protectAfter are left out.
 func (s *slot) victims(job *Job, protect bool) (victims []*Job, enough bool) {
 	order := append([]*Job(nil), s.jobs...)
 	sort.SliceStable(order, func(i, j int) bool { return order[i].Checkpoints < order[j].Checkpoints })
@@ -342,7 +346,8 @@
 	}
 }
 
-// part returns how much of whole the size is, summed over what whole has.
+// part returns the size as a fraction of whole, summed over the resources that
+// whole has.
 func (s Size) part(whole Size) float64 {
 	share := func(part, whole int64) float64 {
 		if whole == 0 {
@@ -361,7 +366,7 @@
 	}
 }
 
-// within reports whether the size fits into room.
+// within reports whether the size fits into room in every resource.
 func (s Size) within(room Size) bool {
 	return s.Milliprocessors <= room.Milliprocessors && s.Memory <= room.Memory && s.Accelerators <= room.Accelerators
 }
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -58,7 +58,7 @@
 		Size:   size(3, 0),
 	})
 	steps := pool.Next()
-	is.Equal(steps.Checkpoint, []string{"refit0"}) // One is enough, the least disturbed.
+	is.Equal(steps.Checkpoint, []string{"refit0"}) // One suffices: the job with the fewest checkpoints.
 	is.Equal(steps.Start["alert"], "w0")
 }
 
@@ -98,7 +98,7 @@
 			}},
 			aside: map[string]place.Reason{"bad": place.ReasonFails},
 		},
-		"a worker on which everything fails": {
+		"a worker on which all jobs fail": {
 			jobs: []place.Job{
 				{
 					ID:       "a",
@@ -118,7 +118,7 @@
 			},
 			takeOut: []string{"w0"},
 		},
-		"a job that also met a bad worker": {
+		"a job that also failed on a faulty worker": {
 			jobs: []place.Job{
 				{
 					ID:       "a",
@@ -143,7 +143,7 @@
 			},
 			takeOut: []string{"w0"},
 		},
-		"a job that no worker can hold": {
+		"a job that fits no worker": {
 			jobs: []place.Job{{
 				ID:   "huge",
 				Size: size(64, 0),
@@ -164,7 +164,7 @@
 				is.Equal(steps.SetAside[id], reason)
 			}
 			for job, worker := range steps.Start {
-				is.True(worker != "w0" || len(c.takeOut) == 0) // Nothing starts on a bad worker.
+				is.True(worker != "w0" || len(c.takeOut) == 0) // Nothing starts on a faulty worker.
 				is.True(steps.SetAside[job] == "")
 			}
 		})
@@ -174,17 +174,17 @@
 func TestLearnTrustsUsage(t *testing.T) {
 	is := is.New(t)
 	declared := size(8, 1)
-	is.Equal(place.Learn(declared, place.Size{}), declared) // Usage missing.
+	is.Equal(place.Learn(declared, place.Size{}), declared) // No usage observed.
 	is.Equal(place.Learn(declared, size(16, 0)).Milliprocessors, int64(18_000))
 	is.Equal(place.Learn(declared, place.Size{
 		Milliprocessors: 1,
 		Memory:          1,
 	}).Milliprocessors, int64(400))
-	is.Equal(place.Learn(declared, size(16, 0)).Accelerators, int64(1)) // Accelerators are counted, not shared.
+	is.Equal(place.Learn(declared, size(16, 0)).Accelerators, int64(1)) // Accelerators are assigned whole.
 }
 
-// TestPoolMachine runs a pool for a while: no worker holds more than it has,
-// no job starts twice, and every job that fits finishes in the end.
+// TestPoolMachine simulates a pool: no worker is overcommitted, no job starts
+// while it runs, and every job finishes.
 func TestPoolMachine(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -204,14 +204,15 @@
 		}
 		for round := 0; len(pool.Jobs) > 0; round++ {
 			if round > 200 {
-				t.Fatalf("%d jobs never finish", len(pool.Jobs))
+				t.Fatalf("%d jobs did not finish in 200 rounds", len(pool.Jobs))
 			}
 			step(t, &pool, left, now.Add(time.Duration(round)*time.Minute))
 		}
 	})
 }
 
-// step carries out the next steps, checks the workers and lets a minute pass.
+// step carries out the next steps, checks that no worker is overcommitted, and
+// counts down the remaining rounds of the running jobs.
 func step(t *rapid.T, pool *place.Pool, left map[string]int, now time.Time) {
 	steps := pool.Next()
 	for i := range pool.Jobs {
@@ -225,7 +226,7 @@
 		}
 		if worker, starts := steps.Start[job.ID]; starts {
 			if job.Worker != "" {
-				t.Fatalf("job %s starts twice", job.ID)
+				t.Fatalf("job %s starts while it runs", job.ID)
 			}
 			job.Worker = worker
 		}
@@ -246,7 +247,7 @@
 	}
 	for id, sum := range used {
 		if sum.Milliprocessors > 8000 || sum.Accelerators > 1 {
-			t.Fatalf("worker %s holds %+v", id, sum)
+			t.Fatalf("worker %s is overcommitted: %+v", id, sum)
 		}
 	}
 	pool.Jobs = rest
