--- a/wave/wave.go
+++ b/wave/wave.go
@@ -1,5 +1,5 @@
-// Package wave orders the instances that are to leave into waves. It is pure:
-// the same fleet gives the same waves at every entry.
+// Package wave groups instances that must leave for maintenance into waves. It does
+// no I/O and is deterministic: every entry computes the same waves for the same fleet.
 package wave
 
 import (
@@ -8,7 +8,7 @@
 	"lemonstream.dev/lemonstream/budget"
 )
 
-// Item is an instance that is to leave for maintenance.
+// Item is an instance that must leave for maintenance.
 type Item struct {
 	ID   string
 	Pool string
@@ -16,17 +16,18 @@
 	Zone string
 }
 
-// NeverError reports instances that could not leave even if everything else
-// served, because their pool's budget has no room for any.
+// InfeasibleError reports instances that fit no wave: taking out any one of them exceeds
+// the budget of its pool. Instances of earlier waves count as out only if they stay out
+// by the plan.
 type NeverError struct {
-	// IDs are the instances, sorted.
+	// IDs are the IDs of the instances, sorted.
 	IDs []string
 
-	// Cause says which budget is in the way.
+	// Cause is the error of the budget that is exceeded.
 	Cause error
 }
 
-// Policy holds the numbers of wave planning.
+// Policy holds the size limits of waves.
 type Policy struct {
 	// First is the size of the first wave, at least 1.
 	First int
@@ -34,8 +35,8 @@
 	// Growth multiplies the size after each wave, at least 1.
 	Growth int
 
-	// Width is the largest number of instances of one pool in a wave; 0 sets
-	// no limit beside the pool's budget.
+	// Width is the largest number of instances of one pool in a wave. With 0, only
+	// the pool's budget limits it.
 	Width int
 }
 
@@ -49,11 +50,12 @@
 	return e.Cause
 }
 
-// Plan splits items into waves, each of which every pool can afford while the
-// waves before it are back in service; with stay set the waves before it stay
-// out. Waves start at the policy's first size and grow; within a wave the
-// instances come from one rack as long as it lasts, so that a rack is open
-// for maintenance at once and the reserve of another rack stays whole.
+// Plan splits items into waves that keep within the budget of every pool. Instances of
+// earlier waves count as back in service, or as out if stay is set. The first wave has
+// the size policy.First, and each next one is policy.Growth times as large. A wave takes
+// instances rack by rack, so that a whole rack can be maintained at once and the spare
+// instances of other racks stay in service. If the remaining instances fit no wave, Plan
+// returns the waves so far and an *InfeasibleError.
 func Plan(items []Item, pools map[string]budget.Pool, policy Policy, stay bool) ([][]string, error) {
 	left := append([]Item(nil), items...)
 	sort.Slice(left, func(i, j int) bool { return less(left[i], left[j]) })
@@ -110,8 +112,8 @@
 	return names
 }
 
-// less orders by zone, rack and id, so that a wave opens one failure domain
-// before the next.
+// less orders by zone, rack and ID, so that a wave takes all instances of one failure
+// domain before those of the next.
 func less(a, b Item) bool {
 	if a.Zone != b.Zone {
 		return a.Zone < b.Zone
@@ -136,8 +138,8 @@
 	}
 }
 
-// pick takes up to size items that all pools can afford together. It returns
-// the rest and the last budget that stood in the way.
+// pick selects up to size items that together keep within the budgets of all pools. It
+// returns the IDs of these, the remaining items, and the last budget error, if any.
 func pick(items []Item, pools map[string]budget.Pool, size, width int) (wave []string, rest []Item, blocked error) {
 	chosen := make(map[string][]string)
 	for _, item := range items {
--- a/wave/wave_test.go
+++ b/wave/wave_test.go
@@ -13,7 +13,8 @@
 	"lemonstream.dev/lemonstream/wave"
 )
 
-// build returns instances over pools with two to a rack.
+// build returns count instances spread over pools, two to a rack. At least least
+// instances of each pool must stay in service.
 func build(count, pools, least int) ([]wave.Item, map[string]budget.Pool) {
 	byName := make(map[string]budget.Pool)
 	var items []wave.Item
@@ -59,11 +60,11 @@
 	is.True(errors.As(err, &never))
 	is.Equal(len(never.IDs), 4)
 	var exceeded *budget.ExceededError
-	is.True(errors.As(err, &exceeded)) // It says which budget is in the way.
+	is.True(errors.As(err, &exceeded)) // The error names the exceeded budget.
 }
 
-// TestEveryWaveIsAffordable checks that each instance stands in exactly one
-// wave and that every pool can afford each wave.
+// TestEveryWaveIsAffordable checks that each instance is in exactly one wave and that
+// every wave keeps within the budget of every pool.
 func TestEveryWaveIsAffordable(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		items, pools := build(rapid.IntRange(1, 30).Draw(t, "count"), rapid.IntRange(1, 4).Draw(t, "pools"), rapid.IntRange(0, 4).Draw(t, "least"))
@@ -90,19 +91,19 @@
 			}
 			for _, id := range one {
 				if seen[id] {
-					t.Fatalf("%s leaves twice", id)
+					t.Fatalf("%s is in two waves", id)
 				}
 				seen[id] = true
 				out[poolOf[id]]++
 			}
 			for name, count := range out {
 				if total[name]-count < pools[name].Least {
-					t.Fatalf("%d of %d of pool %s are out, the budget keeps %d", count, total[name], name, pools[name].Least)
+					t.Fatalf("%d of %d instances of pool %s are out, at least %d must be in service", count, total[name], name, pools[name].Least)
 				}
 			}
 		}
 		if len(seen) != len(items) {
-			t.Fatalf("%d of %d leave", len(seen), len(items))
+			t.Fatalf("waves hold %d of %d instances", len(seen), len(items))
 		}
 	})
 }
