--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -1,6 +1,6 @@
-// Package suspect decides what the loss of a worker tells of the tasks that ran on it.
-// A task may crash each worker that starts it; most tasks on a crashed worker are
-// bystanders. The package is pure: it knows no clock, no table and no connection.
+// Package suspect tracks which tasks may have crashed their workers. A task may crash
+// every worker that starts it, but most tasks on a crashed worker are bystanders. The
+// package does no I/O and reads no clock.
 package suspect
 
 import (
@@ -9,60 +9,64 @@
 )
 
 const (
-	// CrashLimit is how many workers may crash under a task before it is given up. The
-	// platform lets a task go after two and allows two more starts after three; three
-	// leaves room for an innocent that was on crashed workers twice, and for the crashes
-	// that no owner saw because it was being succeeded.
+	// CrashLimit is the number of crashed workers after which a task is given up. The
+	// platform permits giving up from two on, and at most two more starts after three.
+	// The limit of three spares a bystander that was on two crashed workers, and allows for
+	// crashes that no owner saw because ownership was changing.
 	CrashLimit = 3
 
-	// AloneFrom is how many workers have crashed under a task that runs alone on a worker
-	// from then on, so that no innocent is given up for its company: 4 jobs of some 2,750
-	// were without it (12 days), none of some 47,800 with it (200 days of 1,000 tasks, 1
-	// to 20 of which crash their workers). After the first crash a dozen tasks are
-	// suspect, and a worker for each would cost a pool.
+	// MinIsolationCrashes is the number of crashed workers from which on a task runs
+	// isolated on a dedicated worker, so that bystanders are not given up because of it.
+	// Isolation does not start at the first crash: that makes about a dozen tasks suspect,
+	// and a dedicated worker for each would take up a whole pool.
 	AloneFrom = 2
 
-	// AloneShare is the part of the workers, as a divisor, that may be kept for tasks that
-	// run alone; one worker always may. Many such tasks at once must not empty a pool.
+	// ReservedDivisor limits the workers that may be reserved for isolated tasks: the
+	// number of workers divided by it, but at least one. Many isolated tasks at once must
+	// not take all workers of a pool.
 	AloneShare = 10
 
-	// AloneWait is how long a task waits for a worker of its own. After that it joins others,
-	// where they are fewest, and still nothing joins it: a job that never runs costs more than
-	// the company that it may take along. An instance that is asked for comes within some
-	// 2.5 s. With 3 s an innocent task joined others in time for their crash, and its job was
-	// given up, in 1 of 12 plays of a day on which a quarter of two queues crash workers.
+	// IsolationWait is how long an isolated task waits for a dedicated worker. After that it
+	// starts on the worker with the fewest other tasks, and no task is added there: a job that
+	// never runs is worse than the bystanders that it may crash. An ordered instance arrives
+	// within about 2.5 s. If the wait is too short (3 s), a bystander with two recorded crashes
+	// may join tasks that crash their worker, and its job is given up.
 	AloneWait = 8 * time.Second
 
-	// AloneWaitLasting is the same for a lasting task, which the platform expects to run again
-	// 6 s after its last run.
+	// LongRunningIsolationWait is IsolationWait for a long-running task, which the platform
+	// expects to run again within 6 s after its last run ended.
 	AloneWaitLasting = 3 * time.Second
 
-	// ProvedAfter is how long a lasting task must have run to be beyond doubt: many times
-	// what a crash at the start takes to be noticed, which is some 10 ms. Without it, a
-	// task that lasts for months is given up after three unrelated crashes; with 10 s one
-	// was whose workers crashed 12, 20 and 28 s after its hand-in for another cause.
+	// ProvenAfter is how long a long-running task must run until it is proven, that is, no
+	// longer suspected of crashes. It is many times the 10 ms or so in which a crash at the
+	// start is noticed. Without it, a task that runs for months would be given up after three
+	// unrelated crashes. 10 s was too long: a task was given up whose workers crashed 12, 20
+	// and 28 s after it was submitted, for another cause.
 	ProvedAfter = 2 * time.Second
 )
 
-// Loss is what an owner knows of a worker whose life has ended or is taken for ended.
+// Loss is what an owner knows of a worker whose incarnation has ended or is assumed to
+// have ended.
 type Loss struct {
-	// Draining says that the worker had announced its end.
+	// Draining means that the worker had announced that it would stop.
 	Draining bool
 
-	// Unheard says that this owner has never heard from it, so that it can't tell which
-	// came first, the silence or the end of the registration.
+	// Unheard means that this owner never got an answer from the worker. The owner then
+	// does not know whether the worker stopped answering before its registration ended.
 	Unheard bool
 
-	// Unlisted is since when its registration is gone; zero while it stands.
+	// UnlistedAt is the time at which the registration ended; zero while it exists.
 	Unlisted time.Time
 
-	// Silent is since when it does not answer; zero if its end was heard from itself.
+	// SilentSince is the time since which the worker does not answer; zero if no poll
+	// failed before its end was known.
 	Silent time.Time
 }
 
-// Crashed reports whether a worker ended without a word. One that announced its end, or
-// whose registration went while it still answered, did not. A successor that never heard
-// from the worker takes the end for a crash: only what was on trial there is marked.
+// Crashed reports whether the worker ended unannounced. A worker that announced its end,
+// or whose registration ended while it still answered, did not crash. An owner that never
+// got an answer from the worker assumes a crash; the crash is then recorded only for tasks
+// with a possible crash there.
 func (l Loss) Crashed() bool {
 	if l.Draining {
 		return false
@@ -73,11 +77,11 @@
 	return !l.Silent.IsZero() && l.Silent.Before(l.Unlisted)
 }
 
-// Marks are the lives of workers that crashed under a task, each once: an owner and its
-// successor may both see the same crash.
+// Crashes holds the incarnations of workers that crashed under a task. Each appears once,
+// although an owner and the next owner may both see the same crash.
 type Marks []string
 
-// Add returns the marks with one more worker, and whether it was not among them.
+// Add returns the crashes with a worker incarnation added, and whether it is new.
 func (m Marks) Add(worker string) (Marks, bool) {
 	if slices.Contains(m, worker) {
 		return m, false
@@ -85,27 +89,27 @@
 	return append(m, worker), true
 }
 
-// Without returns the marks less one worker.
+// Without returns a copy of the crashes without a worker incarnation.
 func (m Marks) Without(worker string) Marks {
 	return slices.DeleteFunc(slices.Clone(m), func(other string) bool { return other == worker })
 }
 
-// Suspect reports whether the task is to run apart from others as far as there is room.
+// Suspect reports whether the task should run apart from others if resources permit.
 func (m Marks) Suspect() bool {
 	return len(m) > 0
 }
 
-// Alone reports whether the task is to run on a worker of its own.
+// NeedsIsolation reports whether the task must run on a dedicated worker.
 func (m Marks) Alone() bool {
 	return len(m) >= AloneFrom
 }
 
-// GivenUp reports whether the task may not be started any more.
+// GivenUp reports whether the task must not be started again.
 func (m Marks) GivenUp() bool {
 	return len(m) >= CrashLimit
 }
 
-// AloneMost returns how many of the workers may be kept for tasks that run alone.
+// MaxReserved returns how many of the workers may be reserved for isolated tasks.
 func AloneMost(workers int) int {
 	return max(1, workers/AloneShare)
 }
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -20,18 +20,18 @@
 		crashed bool
 	}{
 		{
-			name: "another life answers while the registration stands",
+			name: "silent, then another incarnation answers while the registration exists",
 			loss: suspect.Loss{
 				Silent: at,
 			},
 			crashed: true,
 		},
 		{
-			name:    "another life answers before a look has failed",
+			name:    "another incarnation answers before any poll failed",
 			crashed: true,
 		},
 		{
-			name: "silent, and its registration lapsed later",
+			name: "silent, and the registration lapsed later",
 			loss: suspect.Loss{
 				Silent:   at,
 				Unlisted: at.Add(4 * time.Second),
@@ -39,7 +39,7 @@
 			crashed: true,
 		},
 		{
-			name: "never heard from, and its registration is gone",
+			name: "never answered this owner, and the registration ended",
 			loss: suspect.Loss{
 				Unheard:  true,
 				Unlisted: at,
@@ -48,28 +48,28 @@
 			crashed: true,
 		},
 		{
-			name: "never heard from, and announced",
+			name: "never answered this owner, and announced its end",
 			loss: suspect.Loss{
 				Unheard:  true,
 				Draining: true,
 			},
 		},
 		{
-			name: "announced",
+			name: "announced its end",
 			loss: suspect.Loss{
 				Draining: true,
 				Silent:   at,
 			},
 		},
 		{
-			name: "left without a word in its row, and served on",
+			name: "registration ended unannounced, and the worker still answered afterwards",
 			loss: suspect.Loss{
 				Unlisted: at,
 				Silent:   at.Add(2 * time.Second),
 			},
 		},
 		{
-			name: "left without a word, and never was silent",
+			name: "registration ended unannounced, and the worker never was silent",
 			loss: suspect.Loss{
 				Unlisted: at,
 			},
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestNoTaskIsStartedMoreThanTheLimit adds crashes in any order, some seen twice by
-// owners that succeed each other: a task is given up with the third worker and not
-// before.
+// TestTaskIsGivenUpAtCrashLimit adds crashes in any order, some of them twice, as two
+// successive owners may record the same crash. The task must be given up exactly when the
+// third worker has crashed.
 func TestNoTaskIsStartedMoreThanTheLimit(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		var marks suspect.Marks
@@ -99,10 +99,10 @@
 			seen[id] = true
 		}
 		if marks.GivenUp() != (len(seen) >= 3) {
-			t.Fatalf("%d workers, given up %v", len(seen), marks.GivenUp())
+			t.Fatalf("%d crashed workers, given up %v", len(seen), marks.GivenUp())
 		}
 		if marks.Suspect() != (len(seen) > 0) || marks.Alone() != (len(seen) >= 2) {
-			t.Fatalf("%d workers, suspect %v, alone %v", len(seen), marks.Suspect(), marks.Alone())
+			t.Fatalf("%d crashed workers, suspect %v, isolated %v", len(seen), marks.Suspect(), marks.Alone())
 		}
 	})
 }
