--- a/backlog/backlog.go
+++ b/backlog/backlog.go
@@ -1,14 +1,14 @@
-// Package backlog decides whether a service takes a job in, and when a caller whose job
-// is turned away may come back. Load pattern: more work is asked for than there is room,
-// for seconds (a turn of demand, a burst) or for good. Where everything is taken, the
-// backlog grows until all of it ends late, a takeover takes as long as reading it, and
-// callers wait for an end that nobody will give them.
+// Package backlog decides whether a service accepts a job, and when the caller of a
+// refused job may submit it again. Load pattern: demand exceeds capacity, for seconds (a
+// demand burst) or permanently. If every job were accepted, the backlog would grow until
+// all jobs end late, a takeover would take as long as reading the backlog, and callers
+// would wait for results that come too late.
 //
-// A job is turned away where it is certain that it can't end in a time that is of use,
-// even if its service got every instance that others don't need. So room that is on its
-// way, or could be, never counts as missing. Work that its organisation's quota keeps waiting
-// delays that organisation's jobs and not those of others. The package knows no clock, no store and no
-// connection: all of it are functions of what is given.
+// A job is refused only if it is certain to end too late to be useful, even if its service
+// got every instance that others don't need. Instances that are ordered, or could be, thus
+// count as available. Work that waits for its organisation's quota delays the jobs of that
+// organisation only. The package does no I/O and reads no clock: its functions depend only
+// on their arguments.
 package backlog
 
 import (
@@ -17,74 +17,74 @@
 )
 
 const (
-	// usefulFactor times its objective after it was handed in, a job is of no use any
-	// more: what is expected to end later is turned away, and nothing else. Estimates of
-	// callers are up to twice what their tasks take, so that a smaller factor turns jobs
-	// away that could have been in time: with 1.5, in a burst of four times the demand at
-	// full size, 205 of 2,797 were, and 97 fewer were in time than without refusals.
+	// usefulFactor times its objective after it was submitted, a job is of no use any
+	// more. Only jobs that are expected to end later than that are refused. Callers
+	// estimate up to twice the time that their tasks take, so a smaller factor such as 1.5
+	// refuses jobs that could have ended in time.
 	usefulFactor = 3
 
-	// ComeBackLeast is the shortest time after which a caller comes back: the unit of the
-	// answer. Beyond ComeBackMost, what can be known of a backlog now tells nothing: a
-	// turn of demand lasts some seconds.
+	// MinRetryAfter is the shortest time after which a caller may submit a refused job
+	// again. It is also the unit of the answer.
 	ComeBackLeast = time.Second
 
-	// ComeBackMost is the longest such time.
+	// MaxRetryAfter is the longest such time. The current backlog does not predict the load
+	// any further ahead, as a demand burst lasts a few seconds.
 	ComeBackMost = 8 * time.Second
 
-	// spreadShare of the time is added at random, so that those who were turned away at
-	// one moment do not come back at one.
+	// spreadShare is the largest part of the time that is added to it, depending on the
+	// caller, so that callers that were refused together do not return together.
 	spreadShare = 0.5
 )
 
-// Job is what is asked for.
+// Job is the demand of a submitted job.
 type Job struct {
-	// Work is what all of its tasks take together, in instances for a time: a task that
-	// takes a tenth of an instance for a second takes 100 ms.
+	// Work is the demand of all its tasks together, in instance time: a task that takes
+	// a tenth of an instance for a second counts 100 ms.
 	Work time.Duration
 
 	// Starts is the number of its tasks.
 	Starts int
 
-	// Quota is how long its work and what waits of its organisation take within the
-	// organisation's quota; 0 where there is none.
+	// Quota is how long its work and the waiting work of its organisation take within the
+	// organisation's quota; 0 if there is no quota.
 	Quota time.Duration
 
-	// Chain is how long its longest chain of tasks takes, Objective the time in which
-	// it is to end, and Waited what has passed of that.
+	// Chain is how long its longest chain of dependent tasks takes. Objective is the time
+	// from submission in which the job should end, and Waited the part that has passed.
 	Chain     time.Duration
 	Objective time.Duration
 	Waited    time.Duration
 }
 
-// Service is what a service has and is to do.
+// Service is the capacity and the backlog of a service.
 type Service struct {
-	// Instances is the most that the service can have: its own, and all others that
-	// nobody else needs for work in time. 0 means that nobody knows.
+	// Instances is the largest number of instances that the service can have: its own, and
+	// all that no other service needs to finish its work in time. 0 means unknown.
 	Instances float64
 
-	// Work is what is left to do of jobs that can end in time, in the unit of Job.Work, as
-	// far as quotas let it run within the time that the job is of use; Starts is the number of
-	// tasks of it that have yet to start.
+	// Work is the remaining work of jobs that can end in time, in the unit of Job.Work. It
+	// includes only work that quotas let run while the submitted job is of use. Starts is the
+	// number of tasks of that work that have not started yet.
 	Work   time.Duration
 	Starts int
 
-	// StartsPerSecond is what the owner's link carries; 0 means that it does not bind.
+	// StartsPerSecond is the rate of task starts that the owner's link can carry; 0 means
+	// no limit.
 	StartsPerSecond float64
 }
 
-// Verdict is whether a job is taken.
+// Verdict tells whether a job is accepted.
 type Verdict struct {
 	Take bool
 
-	// Wait is how long work before it takes; ComeBack when a caller that is turned away
-	// may come back.
+	// Wait is the estimated delay by the work before the job and by its own work.
+	// RetryAfter is the time after which the caller of a refused job may submit it again.
 	Wait     time.Duration
 	ComeBack time.Duration
 }
 
-// Decide returns whether the service takes the job. spread is a number from 0 to below 1
-// that differs between callers.
+// Decide returns whether the service accepts the job. spread is a number in [0, 1) that
+// differs between callers.
 func Decide(s Service, j Job, spread float64) Verdict {
 	v := Verdict{
 		Take: true,
@@ -99,13 +99,13 @@
 	return v
 }
 
-// Useful returns for how long after it was handed in a job is of use.
+// UsefulFor returns how long a job is of use, counted from its submission.
 func (j Job) Useful() time.Duration {
 	return time.Duration(usefulFactor * float64(j.Objective))
 }
 
-// wait returns how long the work before a job and its own take, beyond its chain: room, link
-// and quota bound it at the same time, so that the slowest one counts.
+// wait returns how long the work before a job and the job's own work take, without its
+// chain. Instances, link and quota limit the work at the same time, so the slowest counts.
 func (s Service) wait(j Job) time.Duration {
 	if s.Instances <= 0 {
 		return 0
@@ -118,7 +118,8 @@
 	return max(room, link, j.Quota)
 }
 
-// comeBack returns when what is missing has drained, spread and cut to whole seconds.
+// retryAfter returns the time in which the missing time is worked off, spread between
+// callers, rounded up to whole seconds, and limited to MinRetryAfter and MaxRetryAfter.
 func comeBack(missing time.Duration, spread float64) time.Duration {
 	after := float64(missing) * (1 + spreadShare*spread)
 	seconds := time.Duration(math.Ceil(after/float64(time.Second))) * time.Second
--- a/backlog/backlog_test.go
+++ b/backlog/backlog_test.go
@@ -11,7 +11,7 @@
 	"lemonstream.dev/lemonstream/internal/prove"
 )
 
-// asked is a job of four instance-seconds that is to end in 4 s and takes 2.
+// testJob is a job of four instance-seconds that takes at least 2 s and should end in 4 s.
 var asked = backlog.Job{
 	Work:      4 * time.Second,
 	Starts:    16,
@@ -19,76 +19,76 @@
 	Objective: 4 * time.Second,
 }
 
-// TestDecide covers loads by their cause.
+// TestDecide covers each cause of a refusal: instances, link and a large backlog.
 func TestDecide(t *testing.T) {
 	cases := map[string]struct {
-		service  backlog.Service
-		job      backlog.Job
-		take     bool
-		comeBack time.Duration
+		service    backlog.Service
+		job        backlog.Job
+		accept     bool
+		retryAfter time.Duration
 	}{
-		"nothing to do": {
+		"no backlog": {
 			service: backlog.Service{
 				Instances: 10,
 			},
-			job:  asked,
-			take: true,
+			job:    asked,
+			accept: true,
 		},
-		"room unknown": {
+		"unknown number of instances": {
 			service: backlog.Service{
 				Work: time.Hour,
 			},
-			job:  asked,
-			take: true,
+			job:    asked,
+			accept: true,
 		},
-		"as much as can end in time": {
+		"as much work as can end in time": {
 			service: backlog.Service{
 				Instances: 10,
 				Work:      96 * time.Second,
 			},
-			job:  asked,
-			take: true,
+			job:    asked,
+			accept: true,
 		},
-		"more work than room": {
+		"more work than can end in time": {
 			service: backlog.Service{
 				Instances: 10,
 				Work:      126 * time.Second,
 			},
-			job:      asked,
-			comeBack: 3 * time.Second,
+			job:        asked,
+			retryAfter: 3 * time.Second,
 		},
-		"a link that starts too little": {
+		"a link that carries too few starts": {
 			service: backlog.Service{
 				Instances:       100,
 				Work:            time.Second,
 				Starts:          1200,
 				StartsPerSecond: 100,
 			},
-			job:      asked,
-			comeBack: 3 * time.Second,
+			job:        asked,
+			retryAfter: 3 * time.Second,
 		},
-		"a backlog without end": {
+		"a very large backlog": {
 			service: backlog.Service{
 				Instances: 1,
 				Work:      time.Hour,
 			},
-			job:      asked,
-			comeBack: backlog.ComeBackMost,
+			job:        asked,
+			retryAfter: backlog.ComeBackMost,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			verdict := backlog.Decide(c.service, c.job, 0)
-			is.Equal(verdict.Take, c.take)
-			is.Equal(verdict.ComeBack, c.comeBack)
+			is.Equal(verdict.Take, c.accept)
+			is.Equal(verdict.ComeBack, c.retryAfter)
 		})
 	}
 }
 
-// TestMoreRoomNeverRefuses draws services and jobs: what is taken stays taken with more
-// room, less work or a wider link, and who is turned away hears a time in whole seconds
-// within the bounds.
+// TestMoreCapacityNeverRefuses draws services and jobs. A job that is accepted must also be
+// accepted with more instances, less work and a faster link. The retry time of a refused job
+// must be in whole seconds and within the bounds.
 func TestMoreRoomNeverRefuses(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		duration := func(name string) time.Duration {
@@ -114,10 +114,10 @@
 		more.StartsPerSecond *= 2
 		more.Work /= 2
 		if verdict.Take && !backlog.Decide(more, job, spread).Take {
-			t.Fatalf("turned away with more room: %+v", more)
+			t.Fatalf("refused with more capacity: %+v", more)
 		}
 		if !verdict.Take && (verdict.ComeBack < backlog.ComeBackLeast || verdict.ComeBack > backlog.ComeBackMost || verdict.ComeBack%time.Second != 0) {
-			t.Fatalf("comes back in %v", verdict.ComeBack)
+			t.Fatalf("retry after %v", verdict.ComeBack)
 		}
 	})
 }
