--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,12 +1,14 @@
-// Package quota divides what an organisation may run over all services between the owners of
-// the services. Each service holds a share of the organisation's limit, and the shares of all
-// never come to more than the whole. Load pattern: demand moves from one service to another
-// within a second or two, so a share that is not used goes back, and one that is needed is
-// taken from what nobody holds; where all want more than there is, each gets an equal part.
+// Package quota divides an organisation's limit, which holds for all services together,
+// between the owners of the services. Each service holds a share of the limit, and the shares
+// never add up to more than the whole. Load pattern: demand moves from one service to another
+// within a second or two. A service therefore gives back the share that it does not use, and
+// takes what it needs from the part that no service holds. If the services want more than
+// the limit together, each gets at most an equal share of it, and the parts that some leave
+// are divided between the others.
 //
-// The package knows no clock, no store and no connection: all of it are functions of what is
-// given. A ledger changes only by one grant at a time, under the condition that it still
-// stands as it was read.
+// The package does no I/O and reads no clock: its functions depend only on their arguments.
+// A ledger must be changed one grant at a time, on condition that it has not changed since
+// it was read.
 package quota
 
 import (
@@ -17,55 +19,56 @@
 )
 
 const (
-	// Whole is the share that is all of a limit.
+	// Whole is the share that covers a whole limit.
 	Whole Share = 1_000_000
 
-	// reserve is what a service that uses a quota holds beyond its need, and growth the part
-	// of its need that comes on top: jobs that come at once start without waiting for the
-	// store.
+	// A service that uses a quota holds more than its need: reserve, and the need divided by
+	// growth. Jobs that arrive in a burst then start without waiting for the store.
 	reserve = Whole / 20
 	growth  = 4
 
-	// excessFactor times its target, a share is too large to be kept.
+	// excessFactor is the multiple of its target above which a share is reduced.
 	excessFactor = 2
 
-	// leastChange is the smallest part of a limit that is given back while others want more:
-	// each change is a write.
+	// minChange is the smallest share that is given back while others want more, as each
+	// change is a write. A service that wants more than its share writes an increase of
+	// Grant.Wanted from the same size on.
 	leastChange = Whole / 50
 
-	// wantedChange is how far what is wanted may be from what the others know.
+	// minWantedChange is the smallest change of Grant.Wanted that is written in all cases. The
+	// other services know Wanted only to this precision.
 	wantedChange = Whole / 10
 )
 
 // Grant is what one service holds of an organisation's limit.
 type Grant struct {
-	// Epoch is that of the owner that wrote it.
+	// Epoch is the epoch of the owner that wrote the grant.
 	Epoch int64 `cbor:"1,keyasint"`
 
-	// Share is the part that it holds: what may run of the organisation on its workers takes
-	// no more than that part of Limit. What its owner has started and not seen end counts.
+	// Share is the part of Limit that the organisation's tasks may take on the workers of the
+	// service. Tasks count from their start until the owner has seen them end.
 	Share Share `cbor:"2,keyasint"`
 
-	// Wanted is what it would use.
+	// Wanted is the share that the service would use if it could start all waiting work.
 	Wanted Share `cbor:"3,keyasint,omitempty"`
 
-	// Limit is the organisation's limit by the configuration of Version.
+	// Limit is the organisation's limit in the configuration with the given Version.
 	Limit   job.Room `cbor:"4,keyasint"`
 	Version int64    `cbor:"5,keyasint"`
 }
 
-// Ledger holds the grants of one organisation by service. The shares never come to more than
-// Whole.
+// Ledger holds the grants of one organisation by service. The shares never add up to more
+// than Whole.
 type Ledger map[string]Grant
 
-// Need is what one service has running of an organisation, or may have, and what else it
-// could start.
+// Need is an organisation's demand at one service: Used is taken by tasks that run or may
+// run, Waiting is the demand of further tasks that could start.
 type Need struct {
 	Used    job.Room
 	Waiting job.Room
 }
 
-// Policy is an organisation's limit by one version of the configuration.
+// Policy is an organisation's limit in one version of the configuration.
 type Policy struct {
 	Limit   job.Room
 	Version int64
@@ -74,14 +77,15 @@
 // Share is a part of a limit in millionths.
 type Share int64
 
-// ShareOf returns the part of a limit that a room takes, rounded up.
+// ShareOf returns the share of a limit that room takes, rounded up.
 func ShareOf(room, limit job.Room) Share {
 	return Share(math.Ceil(room.Share(limit) * float64(Whole)))
 }
 
-// Allowance returns the share that a service's owner may use, and of which limit. It is 0
-// where the grant is that of another owner, and while a service may run more than its part of
-// a limit that was lowered: only what is under the newest limit together may grow.
+// Allowance returns the share that a service's owner may use and the limit that the share
+// refers to. The share is 0 if the grant is another owner's. It is also 0 while any service
+// has a grant under an earlier, higher limit: usage may grow only when all services keep
+// within the newest limit together.
 func (l Ledger) Allowance(service string, epoch int64, now Policy) (Share, job.Room) {
 	own := l[service]
 	if own.Epoch != epoch {
@@ -98,8 +102,8 @@
 	return own.Share, limit
 }
 
-// Propose returns the grant that a service should hold next, and whether that differs enough
-// from what it holds to be written. A grant without a share is to be removed.
+// Propose returns the grant that a service should hold next, and whether it differs enough
+// from the current grant to be written. A grant with neither Share nor Wanted is to be removed.
 func (l Ledger) Propose(service string, epoch int64, now Policy, need Need) (Grant, bool) {
 	own := l[service]
 	if own.Epoch > epoch {
@@ -128,7 +132,7 @@
 	return next, next.differs(own)
 }
 
-// differs reports whether a grant has to be written in the place of another one.
+// differs reports whether the grant must be written to replace from.
 func (g Grant) differs(from Grant) bool {
 	if g.Share != from.Share {
 		return true
@@ -157,8 +161,8 @@
 	}
 }
 
-// target returns what a service should hold by what all of them want, and whether that is
-// more than there is.
+// target returns the share that a service should hold, given the shares that all services
+// want, and whether these add up to more than Whole.
 func (l Ledger) target(service string, wanted Share) (Share, bool) {
 	sum := wanted
 	wants := []Share{wanted}
@@ -177,7 +181,8 @@
 	return min(Whole, wanted+wanted/growth+reserve), false
 }
 
-// fairShare returns the most that each of several may have so that together they have Whole.
+// fairShare returns the largest share that each service may hold if all of wants, each capped
+// at that share, may together not exceed Whole.
 func fairShare(wants []Share) Share {
 	slices.Sort(wants)
 	left := Whole
@@ -201,7 +206,7 @@
 	return held
 }
 
-// newest returns the newest version of the configuration that a grant was made under.
+// newest returns the newest configuration version of all grants.
 func (l Ledger) newest() int64 {
 	version := int64(0)
 	for _, grant := range l {
@@ -210,7 +215,7 @@
 	return version
 }
 
-// Of returns the room that a share of a limit is, rounded up.
+// Of returns the resources that the share of a limit amounts to, rounded up.
 func (s Share) Of(limit job.Room) job.Room {
 	part := func(of int) int {
 		return int(math.Ceil(float64(of) * float64(s) / float64(Whole)))
@@ -222,7 +227,7 @@
 	}
 }
 
-// Least returns the lower of two limits, part by part; a part that is 0 has no limit.
+// MinLimit returns the lower of two limits for each resource. 0 means no limit.
 func Least(a, b job.Room) job.Room {
 	return job.Room{
 		MilliCPU:     leastPart(a.MilliCPU, b.MilliCPU),
@@ -238,7 +243,7 @@
 	return min(a, b)
 }
 
-// exceeds reports whether a limit allows more of something than another one.
+// exceeds reports whether limit allows more of some resource than the limit than.
 func exceeds(limit, than job.Room) bool {
 	return Least(limit, than) != limit
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// division is an organisation's limit among owners that read the ledger late, learn of new
-// limits late, and write under the condition that what they read still stands.
+// division is an organisation's limit divided between owners. They read the ledger and learn
+// of new limits late, and write only if the ledger has not changed since they read it.
 type division struct {
 	ledger   quota.Ledger
 	revision int
@@ -70,7 +70,7 @@
 	o.revision = d.revision
 }
 
-// write proposes a grant, and applies it where the ledger stands as the owner has read it.
+// write proposes a grant and applies it if the ledger has not changed since the owner read it.
 func (d *division) write(o *divisionOwner) {
 	next, differs := o.seen.Propose(o.name, o.epoch, d.policy(o), quota.Need{
 		Used:    room(o.running),
@@ -89,7 +89,7 @@
 	d.read(o)
 }
 
-// start starts what waits as far as the owner may.
+// start starts one waiting task if the owner's allowance permits, and reports whether it did.
 func (d *division) start(o *divisionOwner) bool {
 	share, limit := o.seen.Allowance(o.name, o.epoch, d.policy(o))
 	if o.waiting == 0 || quota.ShareOf(room(o.running+1), limit) > share {
@@ -108,17 +108,17 @@
 	return total
 }
 
-// most returns the highest limit that some owner may still know as the newest.
+// maxKnownLimit returns the highest limit that some owner may still take for the newest.
 func (d *division) most() int {
 	oldest := int64(len(d.limits) - 1)
 	for _, o := range d.owners {
 		oldest = min(oldest, o.version)
 	}
-	most := 0
+	maxKnownLimit := 0
 	for _, limit := range d.limits[oldest:] {
-		most = max(most, limit.MilliCPU/taskCPU)
+		maxKnownLimit = max(maxKnownLimit, limit.MilliCPU/taskCPU)
 	}
-	return most
+	return maxKnownLimit
 }
 
 func TestTogetherNoMoreThanTheLimitIsStarted(t *testing.T) {
@@ -128,7 +128,7 @@
 		run := func(t *rapid.T, o *divisionOwner) {
 			for d.start(o) {
 				if d.total() > d.most() {
-					t.Fatalf("%d run of %d: %+v", d.total(), d.most(), d.ledger)
+					t.Fatalf("%d tasks run, the limit is %d: %+v", d.total(), d.most(), d.ledger)
 				}
 			}
 		}
@@ -172,14 +172,14 @@
 					held += grant.Share
 				}
 				if held > quota.Whole {
-					t.Fatalf("%d are held of %d: %+v", held, quota.Whole, d.ledger)
+					t.Fatalf("shares add up to %d of %d: %+v", held, quota.Whole, d.ledger)
 				}
 			},
 		})
 	})
 }
 
-// settle lets all owners start, read and write in turn.
+// settle lets each owner in turn read, write and start tasks, for a number of rounds.
 func (d *division) settle(rounds int) {
 	for range rounds {
 		for _, o := range d.owners {
@@ -203,7 +203,7 @@
 		o.running = 0
 	}
 	d.settle(20)
-	is.True(d.owners[0].running >= 95) // At most 5 % is unused while one service asks for more.
+	is.True(d.owners[0].running >= 95) // At most 5 % is unused while one service wants more.
 }
 
 func TestServicesThatAllAskForMoreGetEqualParts(t *testing.T) {
@@ -215,7 +215,7 @@
 		o.waiting = 500
 	}
 	for range 20 {
-		// What runs ends by and by; more waits than is started.
+		// Running tasks end gradually; more tasks wait than can start.
 		d.owners[0].running -= d.owners[0].running / 5
 		d.settle(2)
 	}
