--- a/outside/breaker.go
+++ b/outside/breaker.go
@@ -9,51 +9,51 @@
 	"lemonstream.dev/lemonstream/clock"
 )
 
-// breakerFirst is the pause after the first try without success: a lost answer or
-// a part that is full for a moment must not hold up the next caller for long.
+// minPause is the pause after the first failed try. It is short because a lost answer or
+// a briefly overloaded partition must not delay the next caller for long.
 const breakerFirst = 50 * time.Millisecond
 
 const (
-	// provedFor is how long a success tells that something works: many times what a
-	// call takes on a calm day, which is 5 ms.
+	// provenFor is how long a success proves that calls work. It is many times the
+	// duration of a call without load, which is 5 ms.
 	provedFor = time.Second
 
-	// unprovedMost is how many tries may be under way at once while nothing tells that
-	// they succeed. Callers that come together are otherwise all let through before the
-	// first of their tries has failed: up to 192 calls in place of 20 (300 callers,
-	// beside load). On a calm day one or two are under way together.
+	// maxUnproven is the maximum number of concurrent tries while no recent success proves
+	// that calls work. Without it, callers that arrive together are all let through before
+	// the first of their tries has failed: up to 192 calls instead of 20 with 300 callers
+	// under load. Without load, one or two tries run concurrently.
 	unprovedMost = 4
 )
 
-// Breaker is a circuit breaker: it bounds how often something that fails is tried
-// by all who want to try it. While it works, it lets everyone through; where that is
-// not known, a few at a time. After a failure, one try is let through in every pause,
-// and the pause doubles with each further one.
+// Breaker is a circuit breaker: it limits how often all callers together try an operation
+// that fails. After a recent success, every try is allowed. Without one, only a few
+// concurrent tries are allowed. After a failure, one try is allowed per pause, and the pause
+// doubles with each further failure.
 type Breaker struct {
 	clock clock.Clock
 
-	// most is the longest pause.
+	// maxPause returns the longest pause.
 	most func() time.Duration
 
 	mu sync.Mutex
 
-	// underWay counts the tries that have not ended; provedUntil is until when the last
-	// success counts.
+	// inFlight counts the tries that have not ended. provenUntil is the time until which
+	// the last success counts.
 	underWay    int
 	provedUntil time.Time
 
-	// failures counts the tries without success in a row; those that were under
-	// way together count once.
+	// failures counts consecutive failed tries. Tries that were in flight together count
+	// once.
 	failures int
 
-	// until is when the next try is let through, if failures is above zero; probing
-	// says that one is under way.
+	// retryAt is the time from which the next try is allowed if failures is above zero.
+	// probing is set while that try is in flight.
 	until   time.Time
 	probing bool
 }
 
-// Breakers holds a breaker for each thing that is tried, by its name. There are as
-// many as the caller has names for, a few for each service.
+// Breakers holds a breaker per operation, by name. Breakers are never removed; callers use
+// only a few names per service.
 type Breakers struct {
 	clock clock.Clock
 	most  func() time.Duration
@@ -62,21 +62,21 @@
 	byName map[string]*Breaker
 }
 
-// NewBreakers returns breakers whose pauses grow up to what most returns.
-func NewBreakers(clock clock.Clock, most func() time.Duration) *Breakers {
+// NewBreakers returns breakers whose pauses grow up to the duration that maxPause returns.
+func NewBreakers(clock clock.Clock, maxPause func() time.Duration) *Breakers {
 	return &Breakers{
 		clock:  clock,
-		most:   most,
+		most:   maxPause,
 		byName: make(map[string]*Breaker),
 	}
 }
 
-// Try makes a try of what the name stands for, unless its breaker is open or the caller
-// has gone: then it returns a *NotDoneError at once. A *ConflictError is an answer like
-// any other, and a try that was cut short because its caller gave up tells nothing. One
-// that failed by itself counts, even where the caller's time is over as well: otherwise
-// callers that reach their deadline together open the way for each other, and make up to
-// 134 calls of a part that is away in place of 20 (300 callers, beside load).
+// Try calls try under the breaker of the given name. If the breaker is open or ctx is done,
+// it returns a *NotDoneError at once. A *ConflictError counts as a success, because it is an
+// answer. A try that failed because ctx was done counts neither as a success nor as a
+// failure. Any other error counts as a failure, even if ctx is done by then. Otherwise
+// callers that reach their deadlines together would each let the next one through: up to 134
+// calls to an unavailable partition instead of 20, with 300 callers under load.
 func (b *Breakers) Try(ctx context.Context, name string, try func(context.Context) error) error {
 	if ctx.Err() != nil {
 		return &NotDoneError{
@@ -105,11 +105,12 @@
 	return err
 }
 
-// isContextError reports whether an error says that a call was cut short.
+// isContextError reports whether err means that the context of a call was done.
 func isContextError(err error) bool {
 	return errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
 
+// get returns the breaker of the given name and creates it if necessary.
 func (b *Breakers) named(name string) *Breaker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -124,8 +125,8 @@
 	return breaker
 }
 
-// allow reports whether a try may be made now, and whether it is the one that an
-// open breaker lets through.
+// allow reports whether a try may be made now, and whether it is the probe that an open
+// breaker lets through after a pause.
 func (b *Breaker) allow() (allowed, probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,6 +155,7 @@
 	b.provedUntil = b.clock.Now().Add(provedFor)
 }
 
+// abandoned ends a try whose caller gave up, which counts neither as success nor as failure.
 func (b *Breaker) abandoned(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -163,8 +165,8 @@
 	}
 }
 
-// failed opens the breaker. What was let through before it opened changes nothing
-// any more.
+// failed opens the breaker. If the breaker is open already, only the failure of its probe
+// counts; tries that were allowed before it opened have no further effect.
 func (b *Breaker) failed(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/outside/breaker_test.go
+++ b/outside/breaker_test.go
@@ -12,8 +12,8 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// breakers returns breakers with pauses of up to 400 ms over a clock that the test
-// steps.
+// breakers returns breakers with pauses of up to 400 ms. Their clock returns *now, which the
+// test advances.
 func breakers(now *time.Time) *outside.Breakers {
 	return outside.NewBreakers(clock.Clock{
 		Now: func() time.Time { return *now },
@@ -36,10 +36,10 @@
 		is.True(err != nil)
 		now = now.Add(time.Millisecond)
 	}
-	// The pauses are between half and one and a half of 400 ms after the first few.
+	// After the first few, each pause is between 0.5 and 1.5 times 400 ms.
 	is.True(tries >= 10_000/600)
 	is.True(tries <= 10_000/200+4)
-	is.NoErr(b.Try(context.Background(), "b", func(context.Context) error { return nil })) // Another name has its own.
+	is.NoErr(b.Try(context.Background(), "b", func(context.Context) error { return nil })) // Another name has its own breaker.
 }
 
 func TestBreakerClosesWithTheFirstSuccess(t *testing.T) {
@@ -48,15 +48,15 @@
 	b := breakers(&now)
 	is.True(b.Try(context.Background(), "a", func(context.Context) error { return &outside.NotDoneError{} }) != nil)
 	var refused *outside.NotDoneError
-	well := func(context.Context) error { return nil }
-	is.True(errors.As(b.Try(context.Background(), "a", well), &refused)) // What was not tried certainly has no effect.
+	succeed := func(context.Context) error { return nil }
+	is.True(errors.As(b.Try(context.Background(), "a", succeed), &refused)) // A call that was not tried certainly had no effect.
 	now = now.Add(100 * time.Millisecond)
 	is.True(b.Try(context.Background(), "a", func(context.Context) error { return &outside.ConflictError{} }) != nil)
-	is.NoErr(b.Try(context.Background(), "a", well)) // A conflict is an answer.
+	is.NoErr(b.Try(context.Background(), "a", succeed)) // A conflict is an answer.
 }
 
-// TestAbandonedProbeLetsTheNextThrough covers a caller that goes away while its try
-// is the one that an open breaker lets through.
+// TestAbandonedProbeAllowsNextProbe covers a caller that gives up while its try is the probe
+// of an open breaker.
 func TestAbandonedProbeLetsTheNextThrough(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
@@ -71,8 +71,8 @@
 	is.NoErr(b.Try(context.Background(), "a", func(context.Context) error { return nil }))
 }
 
-// TestTriesThatWereUnderWayTogetherCountOnce covers many callers that meet the same
-// failure at one moment.
+// TestConcurrentFailuresCountOnce covers many callers whose concurrent tries fail for the
+// same reason.
 func TestTriesThatWereUnderWayTogetherCountOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
@@ -91,11 +91,10 @@
 	is.NoErr(b.Try(context.Background(), "a", func(context.Context) error { return nil }))
 }
 
-// TestCallersAtTheirDeadlineDoNotOpenTheWay covers callers that are all at their
-// deadline while a breaker is open. Each was let through as the one try of a pause,
-// failed, and counted as one that its caller had given up on, so that the next was let
-// through at the same instant: an entry made 134 calls in place of 20, all but four of
-// them at 250 ms, when the time of its callers was over.
+// TestFailureAtDeadlineKeepsBreakerOpen covers callers that all reach their deadline while a
+// breaker is open. Each was allowed as the probe, failed, and was counted as abandoned by its
+// caller, so the next one was allowed at the same instant. An entry made 134 calls instead of
+// 20, all but four of them at 250 ms, when its callers reached their deadline.
 func TestCallersAtTheirDeadlineDoNotOpenTheWay(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
@@ -116,32 +115,31 @@
 	is.True(b.Try(context.Background(), "a", func(context.Context) error {
 		tries++
 		return nil
-	}) != nil) // The failure was the store's own.
+	}) != nil) // The store caused the failure, not the deadline.
 	is.Equal(tries, 1)
 }
 
-// TestCallersThatComeTogetherAreLetThroughAFewAtATime covers callers that all arrive
-// before the first of their tries has failed. Of 300 such callers each one was let
-// through, since only a failure opened the breaker; what saved the store was that few
-// of them ran at once. Once something has succeeded, everyone is let through again,
-// and after a second without a success it has to be shown anew.
+// TestConcurrentTriesAreLimitedUntilSuccess covers callers that all arrive before the first
+// of their tries has failed. All of 300 such callers were allowed, because only a failure
+// opened the breaker; the store was spared only because few of them ran at once. After a
+// success every try is allowed, until a second passes without another success.
 func TestCallersThatComeTogetherAreLetThroughAFewAtATime(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
-	well := func(context.Context) error { return nil }
-	is.Equal(together(b, 300), 4) // Nothing is known.
+	succeed := func(context.Context) error { return nil }
+	is.Equal(together(b, 300), 4) // No try has succeeded or failed yet.
 	now = now.Add(100 * time.Millisecond)
-	is.NoErr(b.Try(context.Background(), "a", well))
+	is.NoErr(b.Try(context.Background(), "a", succeed))
 	is.Equal(together(b, 300), 300)
 	now = now.Add(100 * time.Millisecond)
-	is.NoErr(b.Try(context.Background(), "a", well))
+	is.NoErr(b.Try(context.Background(), "a", succeed))
 	now = now.Add(time.Second)
 	is.Equal(together(b, 300), 4)
 }
 
-// together makes tries that are all under way before the first of them fails, and
-// returns how many were made.
+// countConcurrentTries makes tries that are all in flight before the first of them fails,
+// and returns how many were allowed.
 func together(b *outside.Breakers, callers int) int {
 	made := 0
 	var nest func(depth int) error
--- a/outside/call.go
+++ b/outside/call.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// CallError tells a call that no process listened to, which is a *NotDoneError, from
-// one that may have arrived, which is an *UncertainError.
+// CallError wraps the error of a failed call. It returns a *NotDoneError if no process was
+// listening at the address, and an *UncertainError if the call may have arrived.
 func CallError(call string, err error) error {
-	// Only a connection that was never made is refused.
+	// A refused connection was never established, so the call cannot have arrived.
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return &NotDoneError{
 			Call:   call,
@@ -22,8 +22,9 @@
 	}
 }
 
-// IsTurnedAway reports whether the other side said that it serves nothing at the moment. One
-// that is busy with what it was asked before says something else.
+// IsUnavailable reports whether the other side answered with status 503, which means that it
+// serves no calls at the moment. A server that is busy with earlier calls answers with another
+// status.
 func IsTurnedAway(err error) bool {
 	var refused *NotDoneError
 	return errors.As(err, &refused) && refused.Status == http.StatusServiceUnavailable
--- a/outside/incarnation.go
+++ b/outside/incarnation.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// incarnationMark stands between a worker and its start in the name of an incarnation.
+// incarnationSeparator separates the worker's id from its start time in the name of an
+// incarnation.
 const incarnationMark = "@"
 
-// Incarnation is one life of a worker. One that starts again under its id begins a new
-// incarnation, which holds and knows nothing of the one before: what is known of a worker,
-// its numbers, its clock, its fence, what runs there, is known of an incarnation.
+// Incarnation identifies one incarnation of a worker. A worker that restarts under its id
+// begins a new incarnation, which keeps no state of the previous one. Everything known about
+// a worker (its sequence numbers, clock, fencing token and runs) belongs to one incarnation.
 type Incarnation struct {
 	// Worker is the worker's id.
 	Worker string
 
-	// Born is when it began, by the worker's own word; zero where that is not known.
+	// Born is the start time that the worker reported; zero if unknown.
 	Born time.Time
 }
 
-// ParseIncarnation reads a name that String wrote. A name without a start is a worker's id,
-// as rows of earlier versions hold it.
+// ParseIncarnation parses a name that String returned. A name without a start time is a
+// worker's id, as stored in rows by earlier versions.
 func ParseIncarnation(name string) Incarnation {
 	at := strings.LastIndex(name, incarnationMark)
 	if at < 0 {
@@ -44,8 +45,8 @@
 	return i
 }
 
-// Same reports whether two incarnations may be one: they are of one worker, and nobody
-// knows that they began at different times.
+// Same reports whether i and o may be the same incarnation: they have the same worker id, and
+// their start times are equal or at least one of them is unknown.
 func (i Incarnation) Same(o Incarnation) bool {
 	if i.Worker != o.Worker {
 		return false
@@ -53,7 +54,9 @@
 	return i.Born.IsZero() || o.Born.IsZero() || i.Born.Equal(o.Born)
 }
 
-// String returns the name of the incarnation in rows, messages and the log.
+// String returns the name of the incarnation in rows, messages and the log. An id that
+// contains the separator gets the start time 0 if the start is unknown, so that the name can be
+// parsed unambiguously.
 func (i Incarnation) String() string {
 	switch {
 	case !i.Born.IsZero():
--- a/outside/instance.go
+++ b/outside/instance.go
@@ -16,20 +16,20 @@
 	InstanceUp          InstanceState = "up"
 )
 
-// Reasons for which an instance is not touched.
+// Reasons for refusing an order for an instance.
 const (
 	InstanceBusy   InstanceRefusal = "busy"
 	InstanceFence  InstanceRefusal = "fence"
 	InstanceNoWave InstanceRefusal = "wave"
 )
 
-// Advice is the seam to the service that knows which workers may run a step.
+// Advice is the interface to the service that decides which workers may run a step.
 type Advice struct {
 	// Ask returns a ticket for each worker that may run the step.
 	Ask func(ctx context.Context, step string, workers []string) (Tickets, error)
 }
 
-// Instance is one instance of the fleet; a worker is one life of it.
+// Instance is one instance of the fleet. Each worker is one incarnation of an instance.
 type Instance struct {
 	ID       string
 	Pool     string
@@ -39,25 +39,25 @@
 	Labels   []string
 	Capacity job.Room
 
-	// Worker is the id of the life that runs; empty where none does.
+	// Worker is the id of the worker that runs on the instance; empty if none does.
 	Worker string
 }
 
 // InstanceRefusal is why an order for an instance was refused.
 type InstanceRefusal string
 
-// InstanceState is what an instance is doing.
+// InstanceState is the state of an instance.
 type InstanceState string
 
-// Instances is the seam to the instances.
+// Instances is the interface to the service that manages the instances.
 type Instances struct {
 	List func(ctx context.Context) ([]Instance, error)
 
-	// Move puts an instance into another pool; what runs there dies.
+	// Move moves an instance to another pool, which kills everything that runs on it.
 	Move func(ctx context.Context, instance, pool string, holder string, fence int64) error
 
-	// Maintain starts the maintenance of an instance that a wave asked for; what
-	// runs there dies.
+	// Maintain starts the maintenance of an instance that a wave requested, which kills
+	// everything that runs on it.
 	Maintain func(ctx context.Context, instance string, wave int64, holder string, fence int64) error
 }
 
@@ -66,7 +66,7 @@
 	// ByWorker maps a worker's id to its ticket.
 	ByWorker map[string]string
 
-	// Valid is how long the tickets hold.
+	// Valid is how long the tickets are valid.
 	Valid time.Duration
 }
 
@@ -78,7 +78,7 @@
 	// Within is how long the wave may take.
 	Within time.Duration
 
-	// AtOnce is the most instances that may be down for it at one time.
+	// AtOnce is the maximum number of instances that the wave may take down at one time.
 	AtOnce int
 }
 
--- a/outside/pages.go
+++ b/outside/pages.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// pageFirst, pageMost and pageLeast are rows of a page. The first one passes a link
-	// of 2 Mbit/s in some 0.2 s with rows of 1.5 kB; the store gives 500 at the most.
+	// firstPageRows, maxPageRows and minPageRows are numbers of rows per page. The first
+	// page takes about 0.2 s over a link of 2 Mbit/s with rows of 1.5 kB. The store returns
+	// at most 500 rows per read.
 	pageFirst = 32
 	pageMost  = 500
 	pageLeast = 2
 
-	// pageTime is what a page is to take: a sixth of the time after which a read counts
-	// as without an answer, so that it also passes a link that others use.
+	// targetPageTime is the target duration of one page read. It is a sixth of the read
+	// timeout, so that a page also arrives over a link shared with other traffic.
 	pageTime = 150 * time.Millisecond
 
-	// pageTries is how often in a row the same rows are asked for without success, each
-	// time half as many, until the read is given up: from the most rows to the least
-	// ones. A store that is away does not answer the smaller reads either.
+	// maxPageFailures is the number of consecutive failed reads after which ReadPages gives
+	// up. Each failure halves the number of rows, down to minPageRows. The number of
+	// failures is limited because an unavailable store does not answer smaller reads either.
 	pageTries = 3
 )
 
-// pager decides how many rows the next read of a part asks for. It answers a part whose
-// rows take longer to pass the link than a read may take: asked for as a whole they never
-// arrive, however often it is tried.
+// pager decides how many rows the next read of a part requests. It serves parts whose rows
+// take longer to transfer than the read timeout: a read of all rows at once would fail on
+// every retry.
 type pager struct {
 	limit    int
 	failures int
 }
 
-// newPager returns a pager for a part of which nothing was read.
+// newPager returns a pager for a part that has not been read yet.
 func newPager() *pager {
 	return &pager{
 		limit: pageFirst,
 	}
 }
 
-// took takes in that a page of so many rows arrived after a time.
+// recordPage adjusts the page size after a page with the given number of rows has arrived.
 func (p *pager) took(rows int, after time.Duration) {
 	p.failures = 0
 	if rows < p.limit {
@@ -51,15 +52,15 @@
 	}
 }
 
-// missed takes in that a page did not arrive; it reports whether to go on.
+// recordFailure halves the page size after a failed read and reports whether to retry.
 func (p *pager) missed() bool {
 	p.failures++
 	p.limit = max(pageLeast, p.limit/2)
 	return p.failures < pageTries
 }
 
-// ReadAll returns every row of a part, page by page. The version is that of
-// the first page, so that a feed from there misses nothing.
+// ReadAll reads all rows of a part page by page. It returns the version of the first page, so
+// that a feed from that version misses no change.
 func (t Table) ReadAll(ctx context.Context, table, part string) ([]Row, int64, error) {
 	var rows []Row
 	version, err := t.ReadPages(ctx, table, part, func(page []Row) error {
@@ -69,8 +70,8 @@
 	return rows, version, err
 }
 
-// ReadPages is ReadAll that hands over each page as it arrives. What has arrived stays,
-// also where a later page has to be asked for again; an error of each ends the read.
+// ReadPages reads like ReadAll and calls each with every page as it arrives. Only a failed page
+// is read again, not the pages before it. An error of each ends the read.
 func (t Table) ReadPages(ctx context.Context, table, part string, each func([]Row) error) (int64, error) {
 	p := newPager()
 	first := int64(0)
--- a/outside/pages_test.go
+++ b/outside/pages_test.go
@@ -12,8 +12,9 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// thinTable is a table of so many rows, of which one passes the link in a time; a read
-// that takes longer than it may gets no answer.
+// slowLinkTable returns a table with the given number of rows, each of which takes the given
+// time to transfer. A read that exceeds the read timeout returns an *UncertainError. The limit
+// of every read is appended to asked.
 func thinTable(rows int, each time.Duration, asked *[]int) outside.Table {
 	const within = 900 * time.Millisecond
 	return outside.Table{
@@ -52,7 +53,7 @@
 	}
 }
 
-// TestReadArrivesOverAnyLink reads long parts over thin and wide links: each row arrives
+// TestReadCompletesOverAnyLink reads large parts over slow and fast links: each row arrives
 // once, in order.
 func TestReadArrivesOverAnyLink(t *testing.T) {
 	for name, each := range map[string]time.Duration{
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestReadOverAWideLinkTakesFewCalls bounds what the small first pages cost where the
-// link would carry all rows in a moment.
+// TestReadOverFastLinkTakesFewCalls limits the number of calls that the small first pages
+// cause over a link that could transfer all rows quickly.
 func TestReadOverAWideLinkTakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,8 +89,8 @@
 	})
 }
 
-// TestReadOfAStoreThatIsAwayEnds covers a store that answers nothing: the read is given
-// up after a few tries.
+// TestReadOfUnavailableStoreEnds covers a store that never answers: the read gives up after a
+// few tries.
 func TestReadOfAStoreThatIsAwayEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/outside/stopwatch_test.go
+++ b/outside/stopwatch_test.go
@@ -11,20 +11,20 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// TestSilentConnectionIsNoSlowStore covers a read over a connection that went silent:
-// its second try is answered at once, so the store is not slow.
+// TestSilentConnectionDoesNotCountAsSlowStore covers a read over a connection that went silent:
+// the retry is answered at once, so the store is not slow.
 func TestSilentConnectionIsNoSlowStore(t *testing.T) {
 	const silent, quick, wait = 450 * time.Millisecond, 4 * time.Millisecond, time.Second
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
-	patience := outside.NewPatience(clock.Clock{
+	timeout := outside.NewPatience(clock.Clock{
 		Now: func() time.Time { return now },
 	})
 	answer := func(ctx context.Context) {
 		now = now.Add(silent + quick)
 		outside.NoteTook(ctx, quick)
 	}
-	table := patience.Hasten(outside.Table{
+	table := timeout.Hasten(outside.Table{
 		Feed: func(ctx context.Context, _ string, _ int64, wait time.Duration) (outside.Change, error) {
 			now = now.Add(wait)
 			answer(ctx)
@@ -42,11 +42,11 @@
 	ctx := context.Background()
 	_, err := table.Feed(ctx, "t", 1, wait)
 	is.NoErr(err)
-	is.True(!patience.Slow())
+	is.True(!timeout.Slow())
 	_, err = table.Get(ctx, "t", "", "", 0)
 	is.NoErr(err)
-	is.True(!patience.Slow())
+	is.True(!timeout.Slow())
 	_, err = table.Row(ctx, outside.Key{})
 	is.NoErr(err)
-	is.True(!patience.Slow())
+	is.True(!timeout.Slow())
 }
--- a/outside/table.go
+++ b/outside/table.go
@@ -1,7 +1,7 @@
-// Package outside holds the seams to everything that is not lemonstream: the
-// table that lasts, the workers, the instances and the advice service. Each is a
-// concrete type whose operations are function fields, so that the real, the
-// faulty and the in-memory version have the same shape.
+// Package outside defines the interfaces to external systems: the durable table store, the
+// workers, the instances and the advice service. Each is a concrete type whose operations are
+// function fields, so that the real, the fault-injecting and the in-memory implementation have
+// the same type.
 package outside
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// MaxEntries is the most checks, puts and removes that one transaction may
-// hold; it is the platform's own limit.
+// MaxEntries is the maximum number of checks, puts and removes in one transaction. The
+// platform sets this limit.
 const MaxEntries = 100
 
 // Change is a page of a table's changes.
@@ -20,10 +20,10 @@
 	// Rows are in order of version; a deleted row has Gone set.
 	Rows []Row
 
-	// Version is where the next call continues.
+	// Version is the version after which the next call continues.
 	Version int64
 
-	// Relayed says that another entry told the changes.
+	// Relayed is set if the changes came from another entry instead of the store.
 	Relayed bool
 }
 
@@ -31,7 +31,7 @@
 type Check struct {
 	Key Key
 
-	// Version is what the row must have; 0 means that it must not exist.
+	// Version is the required version of the row; 0 means that the row must not exist.
 	Version int64
 }
 
@@ -42,17 +42,17 @@
 	Name  string
 }
 
-// Page is a part of a table as of one moment.
+// Page holds some rows of a part of a table as of one moment.
 type Page struct {
 	Rows []Row
 
-	// More says that rows follow after the last one.
+	// More is set if there are rows after the last one.
 	More bool
 
 	// Version is the newest version of the whole store at that moment.
 	Version int64
 
-	// Now is the store's steady clock.
+	// Now is the time of the store's monotonic clock.
 	Now time.Duration
 }
 
@@ -64,12 +64,12 @@
 
 // Receipt is the outcome of a transaction that took effect.
 type Receipt struct {
-	// Version is what every row written has from then on.
+	// Version is the new version of every row written.
 	Version int64
 	Now     time.Duration
 }
 
-// Row is one row as it stands.
+// Row is one row with its current value and version.
 type Row struct {
 	Key     Key
 	Value   []byte
@@ -81,20 +81,20 @@
 
 // Table is the platform's transactional store.
 type Table struct {
-	// Feed waits for changes of a table after a version, at most for wait. It
-	// returns a *HistoryGoneError where they are no longer known.
+	// Feed waits at most for wait for changes of a table after a version. It returns a
+	// *HistoryGoneError if the store no longer has them.
 	Feed func(ctx context.Context, table string, after int64, wait time.Duration) (Change, error)
 
-	// Get returns rows of one part from the given key on, at most limit of them where
-	// that is not 0.
+	// Get returns rows of one part, starting at the key from. It returns at most limit rows;
+	// a limit of 0 means no limit.
 	Get func(ctx context.Context, table, part, from string, limit int) (Page, error)
 
-	// Row returns one row, or nil where it does not exist.
+	// Row returns one row, or nil if it does not exist.
 	Row func(ctx context.Context, key Key) (*Row, error)
 
-	// Transact applies a transaction or nothing of it. It returns a
-	// *ConflictError or a *NotDoneError when nothing was done, and an
-	// *UncertainError when it may have been done or may yet be.
+	// Transact applies a transaction atomically. It returns a *ConflictError or a
+	// *NotDoneError if the transaction was not applied, and an *UncertainError if it may have
+	// been applied or may still be.
 	Transact func(ctx context.Context, tx Transaction) (Receipt, error)
 }
 
@@ -105,15 +105,14 @@
 	Removes []Key
 }
 
-// ConflictError reports a check that did not hold. Nothing was done.
+// ConflictError reports that a check of a transaction failed. The transaction was not applied.
 type ConflictError struct {
-	// Rows are the checked rows as they stand; those that don't exist are
-	// absent.
+	// Rows are the current versions of the checked rows, without those that don't exist.
 	Rows []Row
 }
 
-// HistoryGoneError reports that changes since a version are no longer known;
-// the table has to be read anew.
+// HistoryGoneError reports that the store no longer has the changes since a version, so the
+// caller has to read the whole table again.
 type HistoryGoneError struct {
 	Table string
 	After int64
@@ -126,8 +125,8 @@
 	Reason string
 }
 
-// UncertainError reports a call without an answer. It may have been done, and
-// may yet be done seconds later.
+// UncertainError reports a call without an answer. The call may have taken effect, or may still
+// take effect seconds later.
 type UncertainError struct {
 	Call  string
 	Cause error
@@ -158,20 +157,20 @@
 	return e.Cause
 }
 
-// IsNotDone reports whether an error says that a call certainly had no effect.
-// An uncertain error may wrap the refusal that it came from, and does not count.
+// IsNotDone reports whether err means that a call certainly had no effect. It returns false for
+// an *UncertainError, even one that wraps a *NotDoneError.
 func IsNotDone(err error) bool {
 	var notDone *NotDoneError
 	return !IsUncertain(err) && errors.As(err, &notDone)
 }
 
-// IsUncertain reports whether an error leaves open if a call was done.
+// IsUncertain reports whether err means that a call may or may not have taken effect.
 func IsUncertain(err error) bool {
 	var uncertain *UncertainError
 	return errors.As(err, &uncertain)
 }
 
-// Find returns the row of the given key.
+// Find returns the checked row with the given key, if it exists.
 func (e *ConflictError) Find(key Key) (Row, bool) {
 	for _, row := range e.Rows {
 		if row.Key == key {
--- a/outside/patience_test.go
+++ b/outside/timeout_test.go
@@ -12,10 +12,10 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// TestTransactionWithoutAnswerIsGivenUpOnSoon covers a store that loses answers,
-// and one that turns slow: neither may be given up on too soon for good. It reads the
-// time that a call is given off the call's deadline, so no real time may pass: a process
-// that stood still for 5 ms in between read 190 ms in place of 200.
+// TestUnansweredTransactionTimesOutSoon covers a store that loses answers and one that becomes
+// slow: in both cases the timeout must grow until transactions succeed. The test reads the
+// timeout from the deadline of the call, so it needs simulated time: with real time, a pause of
+// the process of 5 ms made it read 190 ms instead of 200 ms.
 func TestTransactionWithoutAnswerIsGivenUpOnSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -23,10 +23,10 @@
 		takes := 10 * time.Millisecond
 		reads := 4 * time.Millisecond
 		given := time.Duration(0)
-		patience := outside.NewPatience(clock.Clock{
+		timeout := outside.NewPatience(clock.Clock{
 			Now: func() time.Time { return now },
 		})
-		table := patience.Hasten(outside.Table{
+		table := timeout.Hasten(outside.Table{
 			Transact: func(ctx context.Context, _ outside.Transaction) (outside.Receipt, error) {
 				deadline, _ := ctx.Deadline()
 				given = time.Until(deadline).Round(10 * time.Millisecond)
@@ -55,23 +55,23 @@
 			got, err = call()
 			is.Equal(got, want*time.Millisecond)
 		}
-		is.NoErr(err) // The third try is given enough time,
+		is.NoErr(err) // The timeout of the third try is long enough,
 		got, err = call()
 		is.NoErr(err)
-		is.Equal(got, time.Second) // and the next ones are from the start.
+		is.Equal(got, time.Second) // and the next transactions start with a sufficient one.
 		takes = 10 * time.Millisecond
 		for i := 0; i < 30; i++ {
 			got, err = call()
 			is.NoErr(err)
 		}
 		is.Equal(got, 200*time.Millisecond)
-		is.True(!patience.Slow())
+		is.True(!timeout.Slow())
 		reads = 240 * time.Millisecond
 		_, err = table.Feed(context.Background(), "t", 0, time.Second)
 		is.NoErr(err)
-		is.True(patience.Slow())
+		is.True(timeout.Slow())
 		got, err = call()
 		is.NoErr(err)
-		is.Equal(got, time.Second) // A read has shown that the store is slow.
+		is.Equal(got, time.Second) // The slow read raised the usual duration.
 	})
 }
--- a/outside/worker.go
+++ b/outside/worker.go
@@ -23,31 +23,31 @@
 
 // Reasons for which a worker refuses an order.
 const (
-	// RefusedFence means that a newer owner has been there.
+	// RefusedFence means that the worker has seen the fencing token of a newer owner.
 	RefusedFence Refusal = "fence"
 
-	// RefusedLate means that the order's lease had already lapsed.
+	// RefusedLate means that the lease in the order had already expired.
 	RefusedLate Refusal = "late"
 
-	// RefusedOld means that the run is not above one that ended there.
+	// RefusedOld means that the run number is not above that of a run that ended there.
 	RefusedOld Refusal = "old"
 
 	// RefusedRoom means that the task does not fit.
 	RefusedRoom Refusal = "room"
 
-	// RefusedTicket means that the permission to run there is missing or old.
+	// RefusedTicket means that the ticket for the worker is missing or expired.
 	RefusedTicket Refusal = "ticket"
 
-	// RefusedUnhealthy means that the worker takes nothing at the moment.
+	// RefusedUnhealthy means that the worker accepts no tasks at the moment.
 	RefusedUnhealthy Refusal = "unhealthy"
 
-	// RefusedOther is anything else; the order had no effect.
+	// RefusedOther means any other reason. The order had no effect.
 	RefusedOther Refusal = "other"
 )
 
-// End is the end of one run as its worker lists it.
+// End is the end of one run as reported by its worker.
 type End struct {
-	// Number counts the ends of one life of the worker from 1.
+	// Number is the sequence number of the end within the worker's incarnation, from 1.
 	Number     int64
 	Task       job.TaskID
 	Run        int64
@@ -58,26 +58,26 @@
 // EndKind is how a run ended.
 type EndKind string
 
-// Glance is a worker's account of itself.
+// WorkerStatus is the answer of a worker to a poll.
 type Glance struct {
-	// Born is when the life that answered began; zero where it does not say so.
+	// Born is the start time of the incarnation that answered; zero if not reported.
 	Born time.Time
 
-	// Clock is the worker's steady clock.
+	// Clock is the time of the worker's monotonic clock.
 	Clock time.Duration
 	Runs  []RunningTask
 	Ends  []End
 }
 
-// Refusal is why a worker did not do what it was told.
+// Refusal is why a worker refused an order.
 type Refusal string
 
-// Registration is what a worker records about itself.
+// Registration is the record that a worker stores about itself.
 type Registration struct {
 	ID string
 
-	// Born is when the life that wrote it began; zero where it does not say so. A worker
-	// that starts again under its id begins a new life.
+	// Born is the start time of the incarnation that wrote the registration; zero if not
+	// reported. A worker that restarts under its id begins a new incarnation.
 	Born time.Time
 
 	Service  string
@@ -88,11 +88,11 @@
 	Capacity job.Room
 	Draining bool
 
-	// Remaining is the least time that a draining worker goes on.
+	// Remaining is the minimum time for which a draining worker continues to run.
 	Remaining time.Duration
 }
 
-// Equal reports whether two registrations say the same of a worker.
+// Equal reports whether two registrations are equal. Nil and empty labels are equal.
 func (r Registration) Equal(o Registration) bool {
 	if !slices.Equal(r.Labels, o.Labels) {
 		return false
@@ -101,7 +101,7 @@
 	return reflect.DeepEqual(r, o)
 }
 
-// Incarnation returns which life of the worker wrote the registration.
+// Incarnation returns the incarnation of the worker that wrote the registration.
 func (r Registration) Incarnation() Incarnation {
 	return Incarnation{
 		Worker: r.ID,
@@ -109,13 +109,13 @@
 	}
 }
 
-// Renewal extends the lease of everything that runs on a worker.
+// Renewal extends the leases of all runs on a worker.
 type Renewal struct {
-	// Until is on the worker's clock; 0 extends nothing.
+	// Until is the end of the leases on the worker's clock; 0 does not extend them.
 	Until time.Duration
 	Fence int64
 
-	// Acknowledged is the number of the last end that the worker may forget.
+	// Acknowledged is the number of the last end that the worker may discard.
 	Acknowledged int64
 
 	// Wait is how long the worker may wait for an end before it answers.
@@ -129,8 +129,8 @@
 	Checkpoint string
 	Percent    int
 
-	// Figure is the tail of the answer times in milliseconds for a task that
-	// serves, and the thousandths of a core in use for any other.
+	// Figure is the tail latency in milliseconds for a task that serves requests, and the
+	// CPU usage in thousandths of a core for any other task.
 	Figure int
 }
 
@@ -145,31 +145,31 @@
 	Ticket     string
 }
 
-// WorkerRef addresses one life of a worker.
+// WorkerRef is the id and address of a worker.
 type WorkerRef struct {
 	ID      string
 	Address netip.AddrPort
 }
 
-// Workers is the seam to the workers.
+// Workers is the interface to the workers.
 type Workers struct {
-	// Hold renews the leases at a worker and returns what it runs. Errors are
-	// *GoneError, *WorkerRefusedError, *NotDoneError and *UncertainError.
+	// Poll renews the leases at a worker and returns its runs and ends. It returns a
+	// *GoneError, *WorkerRefusedError, *NotDoneError or *UncertainError.
 	Hold func(ctx context.Context, worker WorkerRef, renewal Renewal) (Glance, error)
 
-	// Pace lets a run work at the given share, 0 to 100.
+	// Pace sets the share of its full speed at which a run works, in percent from 0 to 100.
 	Pace func(ctx context.Context, worker WorkerRef, task job.TaskID, run int64, percent int, fence int64) (time.Duration, error)
 
 	// Start starts a run and returns the worker's clock. Starting a run that
 	// exists is a success.
 	Start func(ctx context.Context, worker WorkerRef, order StartOrder) (time.Duration, error)
 
-	// Stop ends a run, or makes sure that it never starts there.
+	// Stop ends a run. If the run has not started there, Stop ensures that it never does.
 	Stop func(ctx context.Context, worker WorkerRef, task job.TaskID, run int64, fence int64) (time.Duration, error)
 }
 
-// GoneError reports that another life answers at the worker's address, so that
-// nothing of the addressed one runs any more.
+// GoneError reports that the process at the worker's address is not the addressed worker, so
+// nothing that the addressed worker ran is running any more.
 type GoneError struct {
 	ID string
 }
@@ -178,7 +178,7 @@
 type WorkerRefusedError struct {
 	Reason Refusal
 
-	// Clock is the worker's steady clock; 0 where the answer had none.
+	// Clock is the time of the worker's monotonic clock; 0 if the answer did not include it.
 	Clock time.Duration
 }
 
