--- a/outside/timeout.go
+++ b/outside/timeout.go
@@ -88,12 +88,12 @@
 		return row, err
 	}
 	wrapped.Transact = func(ctx context.Context, tx Transaction) (Receipt, error) {
-		given := t.next()
-		bounded, cancel := context.WithTimeout(ctx, given)
+		timeout := t.next()
+		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		began := t.clock.Now()
 		receipt, err := table.Transact(bounded, tx)
-		t.note(given, t.clock.Now().Sub(began), IsUncertain(err))
+		t.note(timeout, t.clock.Now().Sub(began), IsUncertain(err))
 		return receipt, err
 	}
 	return wrapped
@@ -106,13 +106,13 @@
 	return min(patienceMost, max(patienceLeast, patienceFactor*t.usual, t.missed))
 }
 
-// record handles the outcome of a transaction with the timeout given that ended after took.
-// silent means that it got no answer.
-func (t *Patience) note(given, took time.Duration, silent bool) {
+// record handles the outcome of a transaction that had the given timeout and ended after took.
+// unanswered is set if it got no answer.
+func (t *Patience) note(timeout, took time.Duration, unanswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if silent {
-		t.missed = 2 * given
+	if unanswered {
+		t.missed = 2 * timeout
 		return
 	}
 	t.missed = 0
