--- a/peer/changes.go
+++ b/peer/changes.go
@@ -18,11 +18,11 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-// changesSlack is added to the time for which a question for changes may be held; zones are
-// about 1 ms apart.
+// changesSlack is added to the timeout of a long poll for changes. The latency between
+// availability zones is about 1 ms.
 const changesSlack = 250 * time.Millisecond
 
-// changedRow is a row of a table's changes between entries.
+// changedRow encodes one changed row of a table in an answer to another entry.
 type changedRow struct {
 	Part    string `cbor:"1,keyasint,omitempty"`
 	Name    string `cbor:"2,keyasint"`
@@ -30,22 +30,23 @@
 	Version int64  `cbor:"4,keyasint"`
 	Gone    bool   `cbor:"5,keyasint,omitempty"`
 
-	// Packed is the value where it is large, compressed by DEFLATE (RFC 1951).
+	// Packed replaces Value for large values; it is compressed with DEFLATE (RFC 1951).
 	Packed []byte `cbor:"6,keyasint,omitempty"`
 }
 
-// changesAnswer is what an entry passes on of a table.
+// changesAnswer is the body of an answer with the changes of a table.
 type changesAnswer struct {
 	Rows    []changedRow `cbor:"1,keyasint,omitempty"`
 	Version int64        `cbor:"2,keyasint"`
 
-	// AgeMicros and HeldMicros are feed.Passed's spans in microseconds.
+	// AgeMicros and HeldMicros are feed.Passed.Age and feed.Passed.Held in microseconds.
 	AgeMicros  int64 `cbor:"3,keyasint"`
 	HeldMicros int64 `cbor:"4,keyasint"`
 }
 
-// Changes asks an entry for the changes of a table after a version, and lets it hold the
-// question for the given time at the most.
+// Changes requests the changes of a table after a version from an entry. The entry may delay
+// its answer by at most wait (long polling). The error is a *outside.HistoryGoneError if the
+// entry no longer has these changes, and a *feed.BusyError if its link has no capacity for them.
 func (c *Client) Changes(ctx context.Context, to netip.AddrPort, table string, after int64, wait time.Duration) (feed.Passed, error) {
 	status, body, err := c.call(ctx, pathChanges, url.Values{
 		"table":   {table},
@@ -78,7 +79,7 @@
 	return answer.passed(table)
 }
 
-// changes answers a question for the changes of a table.
+// changes handles a request for the changes of a table.
 func (s *Server) changes(c *gin.Context) {
 	after, err := strconv.ParseInt(c.Query("after"), 10, 64)
 	if err != nil {
@@ -112,7 +113,7 @@
 	c.Data(http.StatusOK, "application/cbor", body)
 }
 
-// encodeChanges returns the body of an answer.
+// encodeChanges returns the body of an answer, with large values compressed.
 func (s *Server) encodeChanges(passed feed.Passed) ([]byte, error) {
 	answer := changesAnswer{
 		Version:    passed.Version,
--- a/peer/changes_test.go
+++ b/peer/changes_test.go
@@ -19,7 +19,7 @@
 	"lemonstream.dev/lemonstream/peer"
 )
 
-// passing starts an entry that passes changes on, and returns where it answers.
+// startForwarding starts an entry that forwards changes, and returns its address.
 func passing(t *testing.T, pass func(ctx context.Context, table string, after int64, wait time.Duration) (feed.Passed, error)) netip.AddrPort {
 	t.Helper()
 	gin.SetMode(gin.TestMode)
@@ -33,7 +33,7 @@
 	return netip.MustParseAddrPort(listening.Listener.Addr().String())
 }
 
-// changes asks an entry until it answers: on a busy machine that may take longer than it has.
+// changes requests changes until the entry answers. On a busy computer a request may time out.
 func changes(t *testing.T, to netip.AddrPort, wait time.Duration) feed.Passed {
 	t.Helper()
 	client := peer.NewClient(func(string, int, int) {})
@@ -120,7 +120,7 @@
 	})
 }
 
-// rowOf returns what a source passes on that has one row of the given value.
+// forwardRow returns a Server.Pass function that forwards one row with the given value.
 func rowOf(value []byte) func(context.Context, string, int64, time.Duration) (feed.Passed, error) {
 	return func(context.Context, string, int64, time.Duration) (feed.Passed, error) {
 		return feed.Passed{
@@ -137,7 +137,7 @@
 	}
 }
 
-// configuration returns a value of which a half is left once it is compressed.
+// configuration returns a value that compresses to about half of its size.
 func configuration() []byte {
 	value := make([]byte, 60_000)
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -154,15 +154,16 @@
 	is.Equal(got.Rows[0].Value, value)
 }
 
-// TestLargeChangeIsLeftToTheStoreWhereTheLinkIsShort covers a configuration that every entry asks
-// an owner for at the moment in which it changes, over a link that has other work to carry.
+// TestLargeChangeIsRejectedOverBudget covers a configuration change that all entries request from
+// an owner at once, over a link that also carries other traffic. Beyond the budget the owner
+// answers 429.
 func TestLargeChangeIsLeftToTheStoreWhereTheLinkIsShort(t *testing.T) {
 	is := is.New(t)
 	gin.SetMode(gin.TestMode)
 	router := gin.New()
 	server := &peer.Server{
 		Pass:       rowOf(configuration()),
-		PassBudget: link.FeedBudget(1000), // Bits a second: one answer takes it for an hour.
+		PassBudget: link.FeedBudget(1000), // Bits per second: one answer uses the budget of an hour.
 	}
 	server.Routes(router)
 	ask := func() *httptest.ResponseRecorder {
--- a/peer/client.go
+++ b/peer/client.go
@@ -1,8 +1,8 @@
-// Package peer is the protocol between entries: an entry tells the owner of a
-// service of a new job, and asks it for the state of a job, a count, or whether
-// it still works. It is HTTP/1.1 over kept connections inside the users'
-// network, where no key material is handed out; see docs/design/platform.md for
-// why QUIC with TLS, which needs some, is not used there.
+// Package peer implements the protocol between entries. An entry submits jobs to the owner of
+// a service, cancels them, and requests job states, counts of pending jobs, loads, table changes
+// and health checks. The protocol is HTTP/1.1 over persistent connections inside the users'
+// network. No key material is distributed there, so QUIC, which needs TLS, is not used; see
+// docs/design/platform.md.
 package peer
 
 import (
@@ -23,24 +23,26 @@
 )
 
 const (
-	// callTimeout bounds a call that the owner answers from memory.
+	// callTimeout is the timeout of a call that the owner answers from memory.
 	callTimeout = 400 * time.Millisecond
 
-	// cancelTimeout bounds a cancellation, which the owner writes first.
+	// cancelTimeout is the timeout of a cancellation, which the owner stores before it answers.
 	cancelTimeout = 1200 * time.Millisecond
 
-	// submitTimeout bounds a job's handing in, which the owner writes first: with
-	// a slow store, that takes the rest of one transaction and another.
+	// submitTimeout is the timeout of a submission. The owner stores the job before it answers;
+	// with a slow store this takes the rest of the running transaction and one more.
 	submitTimeout = 2500 * time.Millisecond
 
-	// kept is the most unused connections to one entry; twice as many may be open.
+	// maxIdleConns is the maximum number of idle connections to one entry. Twice as many may be
+	// open.
 	kept = 8
 
-	// idle is how long an unused connection is kept. It is below the 15 s after which
-	// the other entry closes one: a call that met that would have an open outcome.
+	// idleTimeout is how long an idle connection is kept. It is below the 15 s after which the
+	// other entry closes an idle connection: a call sent at that moment would have an uncertain
+	// outcome.
 	idle = 10 * time.Second
 
-	// maxBody bounds a body between entries: a job with its text.
+	// maxBody is the maximum size of a body in bytes. The largest body is a job with its text.
 	maxBody = 4 << 20
 )
 
@@ -56,7 +58,7 @@
 	pathSubmit  = "/v1/submit"
 )
 
-// queryService names the service that a call is about.
+// queryService is the query parameter with the name of the service.
 const queryService = "service"
 
 // Client calls other entries.
@@ -64,39 +66,43 @@
 	conns *conns.Client
 }
 
-// NotOwnerError reports that the entry called does not own the service, or has
-// not read its rows yet.
+// NotOwnerError reports that the called entry does not own the service, or has not finished
+// reading its rows.
 type NotOwnerError struct {
 	Service string
 }
 
-// stateAnswer is the body of an answer to a question for a state.
+// stateAnswer is the body of an answer to a request for the state of a job.
 type stateAnswer struct {
 	State job.State `json:"state"`
 }
 
+// loadRequest is the body of a load request; it encodes an owner.Directive.
 type loadRequest struct {
 	Closed []string `json:"closed"`
 	Ended  []string `json:"ended"`
 	Most   int      `json:"most"`
 }
 
+// pendingAnswer is the body of an answer to a request for the number of pending jobs.
 type pendingAnswer struct {
 	Count int `json:"count"`
 }
 
+// pongAnswer is the body of an answer to a ping; it encodes an owner.Pong.
 type pongAnswer struct {
 	Incarnation string `json:"incarnation"`
 	Owns        bool   `json:"owns"`
 
-	// WriteAgeMillis is in milliseconds.
+	// WriteAgeMillis is the time since the owner's last write, in milliseconds.
 	WriteAgeMillis int64 `json:"write_age_ms"`
 
-	// TurnedAwayMillis is in milliseconds; entries of earlier versions don't tell it.
+	// TurnedAwayMillis is for how long the store has rejected all writes of the owner, in
+	// milliseconds. Entries of earlier versions don't send it.
 	TurnedAwayMillis int64 `json:"turned_away_ms,omitempty"`
 }
 
-// NewClient returns a client with its own connections.
+// NewClient returns a client with its own connection pool.
 func NewClient(meter conns.Meter) *Client {
 	return &Client{
 		conns: conns.NewClient(conns.Limits{
@@ -110,8 +116,8 @@
 	}
 }
 
-// Cancel asks the owner to withdraw a job. It reports false where the owner
-// does not know the job.
+// Cancel requests the cancellation of a job from the owner. It returns false if the owner does
+// not know the job.
 func (c *Client) Cancel(ctx context.Context, to netip.AddrPort, service, id string) (bool, error) {
 	status, _, err := c.tell(ctx, cancelTimeout, to, pathCancel, url.Values{
 		queryService: {service},
@@ -120,20 +126,20 @@
 	return status == http.StatusNoContent, err
 }
 
-// Load tells the owner of a service what that of the instances knows, and returns what
-// the service needs and has.
-func (c *Client) Load(ctx context.Context, to netip.AddrPort, service string, told owner.Directive) (shard.Load, error) {
-	asked, err := json.Marshal(loadRequest{
-		Closed: told.Closed,
-		Ended:  told.Ended,
-		Most:   told.Most,
+// Load sends a directive of the instance controller to the owner of a service, and returns the
+// load of the service.
+func (c *Client) Load(ctx context.Context, to netip.AddrPort, service string, directive owner.Directive) (shard.Load, error) {
+	encoded, err := json.Marshal(loadRequest{
+		Closed: directive.Closed,
+		Ended:  directive.Ended,
+		Most:   directive.Most,
 	})
 	if err != nil {
 		return shard.Load{}, fmt.Errorf("encoding a question for load: %w", err)
 	}
 	_, body, err := c.ask(ctx, http.MethodPost, to, pathLoadCompact, url.Values{
 		queryService: {service},
-	}, asked)
+	}, encoded)
 	if err != nil {
 		return shard.Load{}, err
 	}
@@ -144,8 +150,8 @@
 	return load, nil
 }
 
-// Offer tells the owner of an accepted job; first says that no other entry was
-// told of it.
+// Offer sends an accepted job to the owner. The parameter first reports that the job was sent to
+// no other entry before.
 func (c *Client) Offer(ctx context.Context, to netip.AddrPort, service string, record shard.Record, version int64, first bool) error {
 	_, _, err := c.tell(ctx, callTimeout, to, pathOffer, url.Values{
 		queryService: {service},
@@ -155,7 +161,7 @@
 	return err
 }
 
-// Pending asks the owner how many jobs of a route have not begun.
+// Pending requests the number of jobs of a route that have not started from the owner.
 func (c *Client) Pending(ctx context.Context, to netip.AddrPort, service, route string) (int, error) {
 	_, body, err := c.ask(ctx, http.MethodGet, to, pathPending, url.Values{
 		queryService: {service},
@@ -171,7 +177,7 @@
 	return answer.Count, nil
 }
 
-// Ping asks an entry whether it owns a service and writes.
+// Ping checks whether an entry owns a service and when it last wrote.
 func (c *Client) Ping(ctx context.Context, to netip.AddrPort, service string) (owner.Pong, error) {
 	_, body, err := c.ask(ctx, http.MethodGet, to, pathPing, url.Values{
 		queryService: {service},
@@ -191,8 +197,8 @@
 	}, nil
 }
 
-// State asks the owner for the state of a job; it reports false where the owner
-// does not know the job.
+// State requests the state of a job from the owner. It returns false if the owner does not know
+// the job.
 func (c *Client) State(ctx context.Context, to netip.AddrPort, service, id string) (job.State, bool, error) {
 	status, body, err := c.ask(ctx, http.MethodGet, to, pathState, url.Values{
 		queryService: {service},
@@ -208,7 +214,7 @@
 	return answer.State, true, nil
 }
 
-// ask sends a question, which may be sent twice.
+// callIdempotent sends an idempotent request, which may be sent a second time.
 func (c *Client) ask(ctx context.Context, method string, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
 	return c.call(ctx, path, query, conns.Call{
 		Method: method,
@@ -222,7 +228,7 @@
 	})
 }
 
-// tell sends what has an effect, once.
+// callOnce sends a request that is not idempotent and is never sent a second time.
 func (c *Client) tell(ctx context.Context, within time.Duration, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
 	return c.call(ctx, path, query, conns.Call{
 		Method: http.MethodPost,
@@ -232,8 +238,8 @@
 	})
 }
 
-// call sends one request. Its error is a *NotOwnerError, a
-// *outside.NotDoneError where no process listens, or a *outside.UncertainError.
+// call sends a request. The error is a *NotOwnerError, a *outside.NotDoneError if no process
+// listens at the address, or a *outside.UncertainError.
 func (c *Client) call(ctx context.Context, path string, query url.Values, call conns.Call) (int, []byte, error) {
 	call.Target = target(path, query)
 	call.Purpose = "entries" + path
--- a/peer/load.go
+++ b/peer/load.go
@@ -13,16 +13,15 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// pathLoadCompact asks for a load in the compact form below; pathLoad answers entries of
-// earlier versions. The owner of the instances asks every service five times a second: of
-// 145 workers the first form takes 170 B each, 123 kB a second, half of a link of 2
-// Mbit/s.
+// pathLoadCompact serves a load in the compact CBOR form below; pathLoad serves JSON to entries
+// of earlier versions. The instance controller requests the load of every service five times a
+// second. JSON takes 170 B per worker: with 145 workers that is 123 kB/s, half of a 2 Mbit/s link.
 const pathLoadCompact = "/v2/load"
 
-// contentCBOR is the kind of the compact body.
+// contentCBOR is the content type of the compact form.
 const contentCBOR = "application/cbor"
 
-// Flags of a worker.
+// Bits of workerBody.Flags.
 const (
 	flagClosed uint8 = 1 << iota
 	flagDraining
@@ -30,7 +29,7 @@
 	flagReached
 )
 
-// roomBody is a job.Room on the wire.
+// roomBody encodes a job.Room.
 type roomBody struct {
 	_            struct{} `cbor:",toarray"`
 	MilliCPU     int
@@ -38,7 +37,7 @@
 	Accelerators int
 }
 
-// workerBody is a shard.WorkerLoad on the wire.
+// workerBody encodes a shard.WorkerLoad.
 type workerBody struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
@@ -47,11 +46,11 @@
 	Lasting int
 	Used    roomBody
 
-	// BusyMillis is cut to milliseconds.
+	// BusyMillis is truncated to whole milliseconds.
 	BusyMillis int64
 }
 
-// loadBody is a shard.Load on the wire.
+// loadBody encodes a shard.Load.
 type loadBody struct {
 	Used     roomBody            `cbor:"1,keyasint"`
 	Waiting  roomBody            `cbor:"2,keyasint"`
@@ -64,18 +63,18 @@
 	Late       roomBody `cbor:"8,keyasint"`
 	LateComing roomBody `cbor:"9,keyasint"`
 
-	// Fence is missing in what entries of earlier versions send.
+	// Fence is the owner's fencing token. Entries of earlier versions don't send it.
 	Fence int64 `cbor:"12,keyasint,omitempty"`
 
-	// Room is missing in what entries of earlier versions send.
+	// Room is not sent by entries of earlier versions.
 	Room roomBody `cbor:"10,keyasint"`
 
-	// Born holds, by worker, when the incarnations of closed ones began, in milliseconds
-	// since 1970; those that are not known are missing.
+	// Born maps closed workers to the start of their incarnations, in milliseconds since the
+	// Unix epoch. Workers whose start is unknown are omitted.
 	Born map[string]int64 `cbor:"11,keyasint,omitempty"`
 }
 
-// EncodeLoad writes a load in its compact form.
+// EncodeLoad encodes a load in the compact form.
 func EncodeLoad(load shard.Load) ([]byte, error) {
 	body := loadBody{
 		Fence:    load.Fence,
@@ -117,7 +116,7 @@
 	return encoded, nil
 }
 
-// DecodeLoad reads the compact form.
+// DecodeLoad decodes a load from the compact form.
 func DecodeLoad(encoded []byte) (shard.Load, error) {
 	var body loadBody
 	if err := cbor.Unmarshal(encoded, &body); err != nil {
@@ -142,7 +141,7 @@
 	}
 	for _, w := range body.Workers {
 		var born time.Time
-		if ms, told := body.Born[w.ID]; told {
+		if ms, found := body.Born[w.ID]; found {
 			born = time.UnixMilli(ms)
 		}
 		load.Workers[w.ID] = shard.WorkerLoad{
@@ -160,7 +159,7 @@
 	return load, nil
 }
 
-// flagsOf returns the flags of a worker.
+// flagsOf returns the bits of workerBody.Flags for a worker.
 func flagsOf(w shard.WorkerLoad) uint8 {
 	flags := uint8(0)
 	for flag, set := range map[uint8]bool{
@@ -192,14 +191,14 @@
 	}
 }
 
-// load answers a question for the load of a service in the form of earlier versions.
+// load handles a load request of an entry of an earlier version; the answer is JSON.
 func (s *Server) load(c *gin.Context, duty *owner.Duty) {
 	if load, ok := s.loadOf(c, duty); ok {
 		c.JSON(http.StatusOK, load)
 	}
 }
 
-// loadCompact answers it in the compact form.
+// loadCompact handles a load request; the answer is in the compact form.
 func (s *Server) loadCompact(c *gin.Context, duty *owner.Duty) {
 	load, ok := s.loadOf(c, duty)
 	if !ok {
--- a/peer/load_test.go
+++ b/peer/load_test.go
@@ -14,7 +14,7 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// drawRoom draws an amount of room.
+// drawRoom draws an amount of resources.
 func drawRoom(t *rapid.T, name string) job.Room {
 	return job.Room{
 		MilliCPU:     rapid.IntRange(0, 1<<20).Draw(t, name+" processors"),
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestLoadArrivesAsItWas draws loads and reads them back from their compact form.
+// TestLoadRoundTrip checks that random loads survive encoding and decoding unchanged.
 func TestLoadArrivesAsItWas(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestLoadIsSmallOnTheWire bounds what the owner of the instances receives of each
-// worker, five times a second.
+// TestEncodedLoadSize limits the bytes per worker in a load, which the instance controller
+// receives five times a second.
 func TestLoadIsSmallOnTheWire(t *testing.T) {
 	const workers = 145
 	is := is.New(t)
@@ -92,7 +92,7 @@
 	is.True(len(body) < 35*workers)
 }
 
-// TestMalformedLoadIsRefused covers an answer that is none.
+// TestMalformedLoadIsRefused covers an answer that is not a load.
 func TestMalformedLoadIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := peer.DecodeLoad([]byte("{}"))
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// packFrom is the size of a value from which it is compressed: a configuration, which
-	// every entry asks for at the moment in which it changes.
+	// minPackSize is the minimum size in bytes of a value that is compressed. The values above
+	// it are configurations, which all entries request at the same moment after a change.
 	packFrom = 1024
 
-	// packedMost bounds the values that are kept.
+	// maxPackedValues is the maximum number of cached compressed values.
 	packedMost = 16
 
-	// unpackedMost bounds a value that was compressed: the store's rows are smaller.
+	// maxUnpackedSize is the maximum size in bytes of a decompressed value. Rows of the store
+	// are smaller.
 	unpackedMost = maxBody
 )
 
-// packed holds values as they were compressed, since many ask for the same ones.
+// packed caches compressed values, since many entries request the same ones.
 type packed struct {
 	mu     sync.Mutex
 	values map[packedKey][]byte
 }
 
-// packedKey is a row of one version.
+// packedKey identifies one version of a row.
 type packedKey struct {
 	key     outside.Key
 	version int64
 }
 
-// of returns the compressed value of a row.
+// get returns the compressed value of a row, from the cache if possible.
 func (p *packed) of(row outside.Row) ([]byte, error) {
 	key := packedKey{
 		key:     row.Key,
@@ -57,8 +58,8 @@
 }
 
 func pack(value []byte) ([]byte, error) {
-	var into bytes.Buffer
-	writer, err := flate.NewWriter(&into, flate.DefaultCompression)
+	var buf bytes.Buffer
+	writer, err := flate.NewWriter(&buf, flate.DefaultCompression)
 	if err != nil {
 		return nil, fmt.Errorf("compressing: %w", err)
 	}
@@ -68,18 +69,18 @@
 	if err := writer.Close(); err != nil {
 		return nil, fmt.Errorf("compressing: %w", err)
 	}
-	return into.Bytes(), nil
+	return buf.Bytes(), nil
 }
 
-// unpack returns a compressed value. It fails where that is damaged or too large.
+// unpack decompresses a value. It fails if the value is corrupt or exceeds maxUnpackedSize.
 func unpack(value []byte) ([]byte, error) {
 	limited := io.LimitReader(flate.NewReader(bytes.NewReader(value)), unpackedMost+1)
-	whole, err := io.ReadAll(limited)
+	data, err := io.ReadAll(limited)
 	if err != nil {
 		return nil, fmt.Errorf("decompressing: %w", err)
 	}
-	if len(whole) > unpackedMost {
+	if len(data) > unpackedMost {
 		return nil, fmt.Errorf("decompressing: more than %d bytes", unpackedMost)
 	}
-	return whole, nil
+	return data, nil
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -15,34 +15,34 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// Server answers other entries from the services that this one owns.
+// Server handles requests of other entries for the services that this entry owns.
 type Server struct {
-	// Incarnation is this process.
+	// Incarnation identifies this process.
 	Incarnation string
 
-	// Duty returns the duty of a service that this entry owns.
+	// Duty returns the duty of a service that this entry owns, once its rows are read.
 	Duty func(service string) (*owner.Duty, bool)
 
-	// Held returns it also while its rows are still being read.
+	// Held is like Duty, but also returns a duty whose rows are still being read.
 	Held func(service string) (*owner.Duty, bool)
 
 	// WriteAge returns how long ago the duty of a service last wrote.
 	WriteAge func(service string) (time.Duration, bool)
 
-	// Pass returns what this entry passes on of a table's changes; see feed.Reader.
+	// Pass returns the changes of a table that this entry forwards; see feed.Reader.
 	Pass func(ctx context.Context, table string, after int64, wait time.Duration) (feed.Passed, error)
 
-	// PassBudget bounds the bytes of the changes that are passed on; nil bounds nothing.
+	// PassBudget limits the bytes of forwarded changes; nil means no limit.
 	PassBudget *link.Budget
 
-	// packed holds large values of rows that were passed on.
+	// packed caches the compressed values of forwarded rows.
 	packed packed
 
-	// TurnedAway returns for how long the store has turned away all of that duty's writes.
+	// TurnedAway returns for how long the store has rejected all writes of a service's duty.
 	TurnedAway func(service string) time.Duration
 }
 
-// Routes adds the protocol to a router.
+// Routes registers the handlers of the protocol with a router.
 func (s *Server) Routes(router *gin.Engine) {
 	router.GET(pathChanges, s.changes)
 	router.GET(pathPing, s.ping)
@@ -55,7 +55,8 @@
 	router.POST(pathCancel, s.owned(s.cancel))
 }
 
-// owned answers 421 unless this entry owns the service that is asked for.
+// requireOwned wraps a handler. It answers 421 unless this entry owns the requested service and
+// has read its rows.
 func (s *Server) owned(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		duty, found := s.Duty(c.Query(queryService))
@@ -81,20 +82,20 @@
 	}
 }
 
-// loadOf tells the duty what the caller knows and returns its load; it answers the call
-// where there is none.
+// exchangeLoad passes the directive of a request to the duty and returns the load of the duty. On
+// failure it writes the error status and returns false.
 func (s *Server) loadOf(c *gin.Context, duty *owner.Duty) (shard.Load, bool) {
-	var asked loadRequest
-	if err := c.ShouldBindJSON(&asked); err != nil {
+	var request loadRequest
+	if err := c.ShouldBindJSON(&request); err != nil {
 		c.String(http.StatusBadRequest, err.Error())
 		return shard.Load{}, false
 	}
 	ctx, stop := context.WithTimeout(c.Request.Context(), callTimeout)
 	defer stop()
 	load, err := duty.Load(ctx, owner.Directive{
-		Closed: asked.Closed,
-		Ended:  asked.Ended,
-		Most:   asked.Most,
+		Closed: request.Closed,
+		Ended:  request.Ended,
+		Most:   request.Most,
 	})
 	if err != nil {
 		c.Status(http.StatusServiceUnavailable)
@@ -152,7 +153,8 @@
 	})
 }
 
-// record reads the record of a job; it answers the call where there is none.
+// record decodes the job record in the body of a request. On failure it writes the error status
+// and returns false.
 func (s *Server) record(c *gin.Context) (shard.Record, bool) {
 	body, err := io.ReadAll(io.LimitReader(c.Request.Body, maxBody))
 	if err != nil {
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// keptConns is how many connections are kept when all of them go silent.
+	// keptConns is the number of idle connections at the moment when all of them go silent.
 	keptConns = 4
 
-	// callsAfter is how many calls follow the first that is answered again.
+	// callsAfterRecovery is the number of calls after the first one that is answered again.
 	callsAfter = 2 * keptConns
 
-	// patience is a generous limit for what takes seconds on an idle machine.
+	// waitTimeout is far above the few seconds that the test takes on an idle computer.
 	patience = time.Minute
 )
 
-// TestSilentConnectionsCostOneWait covers connections between entries that go
-// silent for good while new ones work: only one of those that are kept is waited
-// for, so that an owner that is alive misses no three calls.
+// TestOnlyOneSilentConnectionIsUsed covers idle connections between entries that go silent for
+// good while new connections work. The client may wait on only one of them: an owner that is
+// alive must not miss three pings in a row, after which its successor checks whether it still
+// writes.
 func TestSilentConnectionsCostOneWait(t *testing.T) {
-	// Each call is answered in its own form.
+	// The bodies of the answers by path.
 	load, err := peer.EncodeLoad(shard.Load{})
 	if err != nil {
 		t.Fatal(err)
--- a/peer/submit.go
+++ b/peer/submit.go
@@ -16,7 +16,7 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// What became of a job that was handed in.
+// Results of a submission.
 const (
 	resultLeft    result = "left"
 	resultOpen    result = "open"
@@ -24,18 +24,18 @@
 	resultTaken   result = "taken"
 )
 
-// result is what became of one job that was handed in.
+// result is the result of submitting one job.
 type result string
 
-// turnedAwayAnswer is the body of an answer of 429.
+// refusedAnswer is the body of an answer with status 429.
 type turnedAwayAnswer struct {
-	// ComeBackMillis is after how long the job may be handed in again.
+	// RetryAfterMillis is the delay after which the job may be submitted again, in milliseconds.
 	ComeBackMillis int64 `json:"come_back_ms"`
 }
 
-// Submit hands a job in at the owner of its service, and returns once its record
-// stands. A *outside.NotDoneError, a *NotOwnerError or a *owner.TurnedAwayError says that
-// it was not taken.
+// Submit submits a job to the owner of its service, and returns once the record of the job is
+// stored. A *outside.NotDoneError, a *NotOwnerError or a *owner.RefusedError means that the job
+// was not accepted.
 func (c *Client) Submit(ctx context.Context, to netip.AddrPort, service string, record shard.Record) error {
 	status, body, err := c.tell(ctx, submitTimeout, to, pathSubmit, url.Values{
 		queryService: {service},
@@ -52,7 +52,7 @@
 	}
 }
 
-// turnedAway reads the answer of an owner that has too much to do.
+// refusedError decodes the answer of an owner that is overloaded.
 func turnedAway(service string, body []byte) error {
 	var answer turnedAwayAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -68,16 +68,16 @@
 	}
 }
 
-// resultOf is the result that an owner's outcome is told as.
+// resultOf maps an error of owner.Duty.Submit to a result.
 func resultOf(err error) result {
-	var left *owner.NotServingError
-	var away *owner.TurnedAwayError
+	var notServing *owner.NotServingError
+	var refused *owner.TurnedAwayError
 	switch {
-	case errors.As(err, &away):
+	case errors.As(err, &refused):
 		return resultRefused
 	case err == nil:
 		return resultTaken
-	case errors.As(err, &left):
+	case errors.As(err, &notServing):
 		return resultLeft
 	case outside.IsNotDone(err):
 		return resultRefused
@@ -94,8 +94,8 @@
 	}
 }
 
-// holding answers 421 unless this entry owns the service that is asked for. It lets
-// calls in while the rows of the service are being read.
+// requireHeld wraps a handler. It answers 421 unless this entry owns the requested service. Unlike
+// requireOwned, it accepts calls while the rows of the service are being read.
 func (s *Server) holding(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		duty, found := s.Held(c.Query(queryService))
@@ -107,7 +107,8 @@
 	}
 }
 
-// submit takes a job in. An answer of 409, 421 or 429 says that it was not taken.
+// submit handles the submission of a job. Status 409, 421 or 429 means that the job was not
+// accepted.
 func (s *Server) submit(c *gin.Context, duty *owner.Duty) {
 	record, ok := s.record(c)
 	if !ok {
@@ -116,10 +117,10 @@
 	ctx, stop := context.WithTimeout(c.Request.Context(), submitTimeout)
 	defer stop()
 	err := duty.Submit(ctx, record)
-	var away *owner.TurnedAwayError
-	if errors.As(err, &away) {
+	var refused *owner.TurnedAwayError
+	if errors.As(err, &refused) {
 		c.JSON(http.StatusTooManyRequests, turnedAwayAnswer{
-			ComeBackMillis: away.ComeBack.Milliseconds(),
+			ComeBackMillis: refused.ComeBack.Milliseconds(),
 		})
 		return
 	}
--- a/peer/submit_test.go
+++ b/peer/submit_test.go
@@ -25,14 +25,14 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-// TestJobIsAnsweredByWhatBecameOfIt hands jobs in, in each of the states in which an owner may
-// be.
+// TestSubmitReturnsResult submits jobs to an owner while it serves, while the store rejects its
+// writes, and after it has released the service.
 func TestJobIsAnsweredByWhatBecameOfIt(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
-	var away atomic.Bool
+	var rejecting atomic.Bool
 	rows.Before = func(_ context.Context, call standin.Call) error {
-		if away.Load() && call.Kind == "transact" {
+		if rejecting.Load() && call.Kind == "transact" {
 			return &outside.NotDoneError{
 				Call: "transact",
 			}
@@ -48,13 +48,13 @@
 	for _, id := range []string{"a", "b", "a"} {
 		is.NoErr(submit(id))
 	}
-	away.Store(true)
-	is.NoErr(submit("a")) // It stands.
+	rejecting.Store(true)
+	is.NoErr(submit("a")) // The record is already stored.
 	is.True(outside.IsNotDone(submit("c")))
-	away.Store(false)
+	rejecting.Store(false)
 	keeper.Release(t.Context(), 10*time.Second)
-	var none *peer.NotOwnerError
-	is.True(errors.As(submit("d"), &none))
+	var notOwner *peer.NotOwnerError
+	is.True(errors.As(submit("d"), &notOwner))
 	for id, want := range map[string]bool{
 		"a": true,
 		"b": true,
@@ -126,7 +126,7 @@
 	}
 }
 
-// serve answers other entries from what the keeper holds.
+// serve starts a server for the services of the keeper, and returns its address.
 func serve(t *testing.T, keeper *owner.Keeper) netip.AddrPort {
 	t.Helper()
 	gin.SetMode(gin.ReleaseMode)
