--- a/admit/gate.go
+++ b/admit/gate.go
@@ -35,7 +35,7 @@
 
 // serviceTimeWeight is the weight of the newest sample in the moving average of the
 // service time.
-const durationWeight = 0.1
+const serviceTimeWeight = 0.1
 
 // Gate controls the admission of the requests of one service at one entry. It is safe
 // for concurrent use.
@@ -51,11 +51,11 @@
 
 	// queue holds the waiting requests, at most maxQueued. The request to shed
 	// first is at index 0.
-	queue  waiters
-	length int
+	queue     waiters
+	maxQueued int
 
 	// serviceTime is the moving average of the time that a request is in flight.
-	service time.Duration
+	serviceTime time.Duration
 
 	stopping bool
 }
@@ -91,7 +91,7 @@
 
 	// result receives nil or a *RefusedError exactly once, unless the waiter is
 	// abandoned first. Its capacity is 1, so that the sender never blocks.
-	verdict chan error
+	result chan error
 }
 
 // waiters is a heap whose top is the request to shed first.
@@ -101,9 +101,9 @@
 // maxQueued more.
 func NewGate(limit, maxQueued int) *Gate {
 	return &Gate{
-		limit:   limit,
-		length:  maxQueued,
-		service: 0,
+		limit:       limit,
+		maxQueued:   maxQueued,
+		serviceTime: 0,
 	}
 }
 
@@ -124,7 +124,7 @@
 	timer := time.NewTimer(ticket.Deadline.Sub(now))
 	defer timer.Stop()
 	select {
-	case err := <-w.verdict:
+	case err := <-w.result:
 		return err
 	case <-timer.C:
 		return g.abandon(w, ReasonDeadline)
@@ -138,9 +138,9 @@
 func (g *Gate) Leave(held time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.service += time.Duration(durationWeight * float64(held-g.service))
+	g.serviceTime += time.Duration(serviceTimeWeight * float64(held-g.serviceTime))
 	g.inflight--
-	g.fill()
+	g.admitWaiting()
 }
 
 // SetLimit changes the maximum number of requests in flight.
@@ -148,7 +148,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = limit
-	g.fill()
+	g.admitWaiting()
 }
 
 // Demand returns the number of requests that are in flight or waiting.
@@ -176,14 +176,14 @@
 	defer g.mu.Unlock()
 	if w.index >= 0 {
 		heap.Remove(&g.queue, w.index)
-		return g.refusal(reason)
+		return g.newRefusal(reason)
 	}
-	if err := <-w.verdict; err != nil {
+	if err := <-w.result; err != nil {
 		return err
 	}
 	g.inflight--
-	g.fill()
-	return g.refusal(reason)
+	g.admitWaiting()
+	return g.newRefusal(reason)
 }
 
 // enter admits or refuses a request, or queues it. Only a queued request has a
@@ -192,32 +192,32 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
-		return nil, g.refusal(ReasonStopping)
+		return nil, g.newRefusal(ReasonStopping)
 	}
 	remaining := ticket.Deadline.Sub(now)
 	if remaining <= 0 {
-		return nil, g.refusal(ReasonDeadline)
+		return nil, g.newRefusal(ReasonDeadline)
 	}
 	if g.inflight < g.limit && len(g.queue) == 0 {
 		g.inflight++
 		return nil, nil
 	}
-	if g.wait(g.ahead(ticket))+g.service > remaining {
-		return nil, g.refusal(ReasonDeadline)
+	if g.estimateWait(g.countAhead(ticket))+g.serviceTime > remaining {
+		return nil, g.newRefusal(ReasonDeadline)
 	}
 	w := &waiter{
-		ticket:  ticket,
-		verdict: make(chan error, 1),
+		ticket: ticket,
+		result: make(chan error, 1),
 	}
-	if len(g.queue) >= g.length && !g.shedFor(w) {
-		return nil, g.refusal(ReasonShed)
+	if len(g.queue) >= g.maxQueued && !g.shedFor(w) {
+		return nil, g.newRefusal(ReasonShed)
 	}
 	heap.Push(&g.queue, w)
 	return w, nil
 }
 
 // countAhead returns the number of waiting requests that go before ticket.
-func (g *Gate) ahead(ticket Ticket) int {
+func (g *Gate) countAhead(ticket Ticket) int {
 	count := 0
 	for _, other := range g.queue {
 		if !before(ticket, other.ticket) {
@@ -229,7 +229,7 @@
 
 // admitWaiting admits waiting requests while fewer than limit are in flight. The
 // most urgent go first.
-func (g *Gate) fill() {
+func (g *Gate) admitWaiting() {
 	for g.inflight < g.limit && len(g.queue) > 0 {
 		next := g.queue[0]
 		for _, w := range g.queue {
@@ -239,23 +239,23 @@
 		}
 		heap.Remove(&g.queue, next.index)
 		g.inflight++
-		next.verdict <- nil
+		next.result <- nil
 	}
 }
 
 // newRefusal returns a refusal for the given reason, with the estimated wait of a new
 // request as its RetryAfter.
-func (g *Gate) refusal(reason Reason) *RefusedError {
+func (g *Gate) newRefusal(reason Reason) *RefusedError {
 	return &RefusedError{
 		Reason:     reason,
-		RetryAfter: max(g.wait(len(g.queue)), time.Second),
+		RetryAfter: max(g.estimateWait(len(g.queue)), time.Second),
 	}
 }
 
 // refuse removes w from the queue and refuses its request.
 func (g *Gate) refuse(w *waiter, reason Reason) {
 	heap.Remove(&g.queue, w.index)
-	w.verdict <- g.refusal(reason)
+	w.result <- g.newRefusal(reason)
 }
 
 // shedFor refuses the request to shed first, if w goes before that one. It reports
@@ -269,11 +269,11 @@
 }
 
 // estimateWait estimates how long a request waits that has count requests ahead.
-func (g *Gate) wait(count int) time.Duration {
+func (g *Gate) estimateWait(count int) time.Duration {
 	if g.limit == 0 {
-		return g.service
+		return g.serviceTime
 	}
-	return g.service * time.Duration(count+1) / time.Duration(g.limit)
+	return g.serviceTime * time.Duration(count+1) / time.Duration(g.limit)
 }
 
 // Len implements heap.Interface.
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -59,7 +59,7 @@
 	is.NoErr(<-urgent)
 }
 
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRequestBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	g := admit.NewGate(1, 10)
 	is.NoErr(<-enter(g, admit.Normal))
@@ -72,7 +72,7 @@
 	is.True(errors.As(err, &refused) && refused.RetryAfter > 0) // With a time for the retry.
 }
 
-func TestCallerWhoLeavesFreesItsPlace(t *testing.T) {
+func TestCancelledRequestLeavesQueue(t *testing.T) {
 	is := is.New(t)
 	g := admit.NewGate(1, 10)
 	is.NoErr(<-enter(g, admit.Normal))
@@ -83,7 +83,7 @@
 	is.Equal(g.Demand(), 1)
 }
 
-func TestStopRefusesTheWaiting(t *testing.T) {
+func TestStopRefusesWaitingRequests(t *testing.T) {
 	is := is.New(t)
 	g := admit.NewGate(1, 10)
 	is.NoErr(<-enter(g, admit.Normal))
@@ -96,7 +96,7 @@
 
 // TestSharesAddUpToTotal checks that entries that know the same claims divide quotas and
 // slots completely, without giving out more than the total.
-func TestSharesNeverPassTheTotal(t *testing.T) {
+func TestSharesAddUpToTotal(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1e6), 1, 12).Draw(t, "demands")
 		total := rapid.IntRange(1, 64).Draw(t, "total")
--- a/admit/quota.go
+++ b/admit/quota.go
@@ -19,19 +19,19 @@
 	tokens float64
 
 	// refilledAt is the time of the last refill.
-	last time.Time
+	refilledAt time.Time
 
 	// requests is the number of calls of Take since the last call of Demand.
-	asked int
+	requests int
 }
 
 // NewQuota returns a full bucket.
 func NewQuota(rate, burst float64, now time.Time) *Quota {
 	return &Quota{
-		rate:   rate,
-		burst:  burst,
-		tokens: max(burst, 1),
-		last:   now,
+		rate:       rate,
+		burst:      burst,
+		tokens:     max(burst, 1),
+		refilledAt: now,
 	}
 }
 
@@ -40,8 +40,8 @@
 func (q *Quota) Demand() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	requests := q.asked
-	q.asked = 0
+	requests := q.requests
+	q.requests = 0
 	return requests
 }
 
@@ -59,10 +59,10 @@
 func (q *Quota) Take(now time.Time) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.asked++
-	if passed := now.Sub(q.last); passed > 0 {
+	q.requests++
+	if passed := now.Sub(q.refilledAt); passed > 0 {
 		q.tokens = min(max(q.burst, 1), q.tokens+q.rate*passed.Seconds())
-		q.last = now
+		q.refilledAt = now
 	}
 	if q.tokens >= 1 {
 		q.tokens--
--- a/backlog/backlog.go
+++ b/backlog/backlog.go
@@ -25,11 +25,11 @@
 
 	// MinRetryAfter is the shortest time after which a caller may submit a refused job
 	// again. It is also the unit of the answer.
-	ComeBackLeast = time.Second
+	MinRetryAfter = time.Second
 
 	// MaxRetryAfter is the longest such time. The current backlog does not predict the load
 	// any further ahead, as a demand burst lasts a few seconds.
-	ComeBackMost = 8 * time.Second
+	MaxRetryAfter = 8 * time.Second
 
 	// spreadShare is the largest part of the time that is added to it, depending on the
 	// caller, so that callers that were refused together do not return together.
@@ -75,32 +75,32 @@
 
 // Verdict tells whether a job is accepted.
 type Verdict struct {
-	Take bool
+	Accept bool
 
 	// Wait is the estimated delay by the work before the job and by its own work.
 	// RetryAfter is the time after which the caller of a refused job may submit it again.
-	Wait     time.Duration
-	ComeBack time.Duration
+	Wait       time.Duration
+	RetryAfter time.Duration
 }
 
 // Decide returns whether the service accepts the job. spread is a number in [0, 1) that
 // differs between callers.
 func Decide(s Service, j Job, spread float64) Verdict {
 	v := Verdict{
-		Take: true,
-		Wait: s.wait(j),
+		Accept: true,
+		Wait:   s.wait(j),
 	}
-	missing := j.Waited + v.Wait + j.Chain - j.Useful()
+	missing := j.Waited + v.Wait + j.Chain - j.UsefulFor()
 	if s.Instances <= 0 || missing <= 0 {
 		return v
 	}
-	v.Take = false
-	v.ComeBack = comeBack(missing, spread)
+	v.Accept = false
+	v.RetryAfter = retryAfter(missing, spread)
 	return v
 }
 
 // UsefulFor returns how long a job is of use, counted from its submission.
-func (j Job) Useful() time.Duration {
+func (j Job) UsefulFor() time.Duration {
 	return time.Duration(usefulFactor * float64(j.Objective))
 }
 
@@ -120,8 +120,8 @@
 
 // retryAfter returns the time in which the missing time is worked off, spread between
 // callers, rounded up to whole seconds, and limited to MinRetryAfter and MaxRetryAfter.
-func comeBack(missing time.Duration, spread float64) time.Duration {
+func retryAfter(missing time.Duration, spread float64) time.Duration {
 	after := float64(missing) * (1 + spreadShare*spread)
 	seconds := time.Duration(math.Ceil(after/float64(time.Second))) * time.Second
-	return min(ComeBackMost, max(ComeBackLeast, seconds))
+	return min(MaxRetryAfter, max(MinRetryAfter, seconds))
 }
--- a/backlog/backlog_test.go
+++ b/backlog/backlog_test.go
@@ -12,7 +12,7 @@
 )
 
 // testJob is a job of four instance-seconds that takes at least 2 s and should end in 4 s.
-var asked = backlog.Job{
+var testJob = backlog.Job{
 	Work:      4 * time.Second,
 	Starts:    16,
 	Chain:     2 * time.Second,
@@ -31,14 +31,14 @@
 			service: backlog.Service{
 				Instances: 10,
 			},
-			job:    asked,
+			job:    testJob,
 			accept: true,
 		},
 		"unknown number of instances": {
 			service: backlog.Service{
 				Work: time.Hour,
 			},
-			job:    asked,
+			job:    testJob,
 			accept: true,
 		},
 		"as much work as can end in time": {
@@ -46,7 +46,7 @@
 				Instances: 10,
 				Work:      96 * time.Second,
 			},
-			job:    asked,
+			job:    testJob,
 			accept: true,
 		},
 		"more work than can end in time": {
@@ -54,7 +54,7 @@
 				Instances: 10,
 				Work:      126 * time.Second,
 			},
-			job:        asked,
+			job:        testJob,
 			retryAfter: 3 * time.Second,
 		},
 		"a link that carries too few starts": {
@@ -64,7 +64,7 @@
 				Starts:          1200,
 				StartsPerSecond: 100,
 			},
-			job:        asked,
+			job:        testJob,
 			retryAfter: 3 * time.Second,
 		},
 		"a very large backlog": {
@@ -72,16 +72,16 @@
 				Instances: 1,
 				Work:      time.Hour,
 			},
-			job:        asked,
-			retryAfter: backlog.ComeBackMost,
+			job:        testJob,
+			retryAfter: backlog.MaxRetryAfter,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			verdict := backlog.Decide(c.service, c.job, 0)
-			is.Equal(verdict.Take, c.accept)
-			is.Equal(verdict.ComeBack, c.retryAfter)
+			is.Equal(verdict.Accept, c.accept)
+			is.Equal(verdict.RetryAfter, c.retryAfter)
 		})
 	}
 }
@@ -89,7 +89,7 @@
 // TestMoreCapacityNeverRefuses draws services and jobs. A job that is accepted must also be
 // accepted with more instances, less work and a faster link. The retry time of a refused job
 // must be in whole seconds and within the bounds.
-func TestMoreRoomNeverRefuses(t *testing.T) {
+func TestMoreCapacityNeverRefuses(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		duration := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, name))
@@ -113,11 +113,11 @@
 		more.Instances *= 1 + rapid.Float64Range(0, 2).Draw(t, "more")
 		more.StartsPerSecond *= 2
 		more.Work /= 2
-		if verdict.Take && !backlog.Decide(more, job, spread).Take {
+		if verdict.Accept && !backlog.Decide(more, job, spread).Accept {
 			t.Fatalf("refused with more capacity: %+v", more)
 		}
-		if !verdict.Take && (verdict.ComeBack < backlog.ComeBackLeast || verdict.ComeBack > backlog.ComeBackMost || verdict.ComeBack%time.Second != 0) {
-			t.Fatalf("retry after %v", verdict.ComeBack)
+		if !verdict.Accept && (verdict.RetryAfter < backlog.MinRetryAfter || verdict.RetryAfter > backlog.MaxRetryAfter || verdict.RetryAfter%time.Second != 0) {
+			t.Fatalf("retry after %v", verdict.RetryAfter)
 		}
 	})
 }
--- a/figures/figures.go
+++ b/figures/figures.go
@@ -116,8 +116,8 @@
 // wait by design and are only counted.
 func ObserveWorkers(s *Set, inner outside.Workers) outside.Workers {
 	return outside.Workers{
-		Hold: func(ctx context.Context, worker outside.WorkerRef, renewal outside.Renewal) (outside.Glance, error) {
-			glance, err := inner.Hold(ctx, worker, renewal)
+		Poll: func(ctx context.Context, worker outside.WorkerRef, renewal outside.Renewal) (outside.WorkerStatus, error) {
+			glance, err := inner.Poll(ctx, worker, renewal)
 			s.Count("worker_look", outcomeOf(err))
 			for _, end := range glance.Ends {
 				s.Count("run_listed_end", string(end.Kind))
--- a/intake/accept.go
+++ b/intake/accept.go
@@ -29,9 +29,9 @@
 			s.accepted(r, record, writer, catalogVersion)
 			return
 		}
-		var away *owner.TurnedAwayError
+		var away *owner.RefusedError
 		if errors.As(err, &away) {
-			s.turnAway(r, record, away.ComeBack)
+			s.turnAway(r, record, away.RetryAfter)
 			return
 		}
 		hopeless := !uncertain && s.Clock.Now().Sub(began)+writePause > givingUp
@@ -55,7 +55,7 @@
 	if atOwner == nil {
 		return writerOwner, nil
 	}
-	var away *owner.TurnedAwayError
+	var away *owner.RefusedError
 	if errors.As(atOwner, &away) {
 		return "", away
 	}
@@ -99,9 +99,9 @@
 			return decodeErr
 		}
 		if refusal.Covers(record) {
-			return &owner.TurnedAwayError{
-				Service:  service,
-				ComeBack: backlog.ComeBackLeast,
+			return &owner.RefusedError{
+				Service:    service,
+				RetryAfter: backlog.MinRetryAfter,
 			}
 		}
 		// The caller has come back since: it is lifted with the write.
--- a/intake/handin.go
+++ b/intake/handin.go
@@ -68,7 +68,7 @@
 // submitAt hands a job in at another entry. That a job was turned away is an answer: it
 // counts against nobody.
 func (s *Server) submitAt(ctx context.Context, address netip.AddrPort, service string, record shard.Record) error {
-	var away *owner.TurnedAwayError
+	var away *owner.RefusedError
 	err := s.tryOwner(ctx, handingIn, service, address, func(ctx context.Context) error {
 		err := s.Owners.Peers.Submit(ctx, address, service, record)
 		if errors.As(err, &away) {
--- a/internal/overload/run.go
+++ b/internal/overload/run.go
@@ -157,18 +157,18 @@
 		}
 	}
 	w.core = shard.New("s", 1, 1, w.now, shard.Options{
-		Lease:    4 * time.Second,
-		BusyWait: time.Second,
-		IdleWait: time.Second,
-		StopTask: 400 * time.Millisecond,
-		ShownFor: time.Hour,
-		Policy:   func(string) (catalog.Policy, bool) { return catalog.Policy{}, false },
-		Report:   func(string, ...any) {},
-		Show:     w.show,
+		Lease:        4 * time.Second,
+		BusyPollWait: time.Second,
+		IdlePollWait: time.Second,
+		StopTimeout:  400 * time.Millisecond,
+		JobRetention: time.Hour,
+		Policy:       func(string) (catalog.Policy, bool) { return catalog.Policy{}, false },
+		LogEvent:     func(string, ...any) {},
+		PublishState: w.show,
 	})
 	w.core.SetWorkers(list, time.Time{}, w.now)
 	if policy.Admit {
-		w.core.SetMost(instances)
+		w.core.SetMaxInstances(instances)
 	}
 	return w
 }
@@ -304,10 +304,10 @@
 			record.Policy.Priority = int(c.arrived.Sub(time.UnixMilli(0)).Milliseconds())
 		}
 		w.waiting++
-		w.core.Submit(record, w.now, func(answer shard.Answer) {
-			if !answer.Taken {
+		w.core.Submit(record, w.now, func(answer shard.SubmitResult) {
+			if !answer.Accepted {
 				w.waiting--
-				w.turnAway(c, answer.ComeBack)
+				w.turnAway(c, answer.RetryAfter)
 			}
 		})
 	}
@@ -323,26 +323,26 @@
 // write lets the batch stand that was taken a tick ago, and takes the next one.
 func (w *world) write() {
 	if w.batch != nil {
-		w.core.Written(*w.batch, w.now)
+		w.core.BatchWritten(*w.batch, w.now)
 		w.batch = nil
 	}
 	w.core.Confirm(w.core.WorkerRows(len(w.workers)), w.now)
-	if b, found := w.core.TakeBatch(outside.MaxEntries, w.now); found {
+	if b, found := w.core.NextBatch(outside.MaxEntries, w.now); found {
 		w.batch = &b
 	}
 }
 
 // carryOut does what the owner orders.
 func (w *world) carryOut(orders shard.Orders) {
-	sort.Slice(orders.Holds, func(i, j int) bool { return orders.Holds[i].Worker.ID < orders.Holds[j].Worker.ID })
-	for _, hold := range orders.Holds {
+	sort.Slice(orders.Polls, func(i, j int) bool { return orders.Polls[i].Worker.ID < orders.Polls[j].Worker.ID })
+	for _, hold := range orders.Polls {
 		sent := w.now
 		w.later(func() {
 			one := w.workers[hold.Worker.ID]
 			for len(one.ends) > 0 && one.ends[0].Number <= hold.Renewal.Acknowledged {
 				one.ends = one.ends[1:]
 			}
-			w.core.Held(hold, sent, w.now, one.glance(w.now), nil)
+			w.core.Polled(hold, sent, w.now, one.glance(w.now), nil)
 		})
 	}
 	for _, start := range orders.Starts {
--- a/internal/overload/worker.go
+++ b/internal/overload/worker.go
@@ -22,8 +22,8 @@
 	until  time.Time
 }
 
-func (o *worker) glance(now time.Time) outside.Glance {
-	g := outside.Glance{
+func (o *worker) glance(now time.Time) outside.WorkerStatus {
+	g := outside.WorkerStatus{
 		Clock: now.Sub(time.UnixMilli(0)),
 		Ends:  append([]outside.End(nil), o.ends...),
 	}
--- a/link/budget.go
+++ b/link/budget.go
@@ -38,17 +38,17 @@
 // It is safe for concurrent use. A nil Budget has no limit.
 type Budget struct {
 	// bytesPerSecond is the rate of the refill.
-	perSecond float64
+	bytesPerSecond float64
 
 	mu sync.Mutex
 
 	// available is the number of bytes that may be sent now. A message is sent as a whole
 	// if available is positive, even if the message is larger. available is then negative
 	// and later messages wait until it is positive again.
-	left float64
+	available float64
 
 	// refilledAt is the time of the last refill.
-	at time.Time
+	refilledAt time.Time
 }
 
 // StartBudget returns the budget for orders to start tasks on a link of the given rate,
@@ -69,7 +69,7 @@
 		return nil
 	}
 	return &Budget{
-		perSecond: bitsPerSecond / bitsPerByte,
+		bytesPerSecond: bitsPerSecond / bitsPerByte,
 	}
 }
 
@@ -82,44 +82,44 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	if b.left <= 0 {
+	if b.available <= 0 {
 		return false
 	}
-	b.left -= float64(bytes)
+	b.available -= float64(bytes)
 	return true
 }
 
 // ReadyAt returns the earliest time at which Take can succeed.
-func (b *Budget) Ready(now time.Time) time.Time {
+func (b *Budget) ReadyAt(now time.Time) time.Time {
 	if b == nil {
 		return now
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	if b.left > 0 {
+	if b.available > 0 {
 		return now
 	}
-	return now.Add(time.Duration((1 - b.left) / b.perSecond * float64(time.Second)))
+	return now.Add(time.Duration((1 - b.available) / b.bytesPerSecond * float64(time.Second)))
 }
 
 // MessagesPerSecond returns how many messages of the given size in bytes the budget allows
 // per second, or 0 if there is no limit.
-func (b *Budget) PerSecond(bytes int) float64 {
+func (b *Budget) MessagesPerSecond(bytes int) float64 {
 	if b == nil {
 		return 0
 	}
-	return b.perSecond / float64(bytes)
+	return b.bytesPerSecond / float64(bytes)
 }
 
 // refill adds the bytes for the time since the last refill. A new budget starts full.
 func (b *Budget) refill(now time.Time) {
-	maxBytes := b.perSecond * burst.Seconds()
-	if b.at.IsZero() {
-		b.left = maxBytes
+	maxBytes := b.bytesPerSecond * burst.Seconds()
+	if b.refilledAt.IsZero() {
+		b.available = maxBytes
 	}
-	if now.After(b.at) {
-		b.left = min(maxBytes, b.left+b.perSecond*now.Sub(b.at).Seconds())
-		b.at = now
+	if now.After(b.refilledAt) {
+		b.available = min(maxBytes, b.available+b.bytesPerSecond*now.Sub(b.refilledAt).Seconds())
+		b.refilledAt = now
 	}
 }
--- a/link/budget_test.go
+++ b/link/budget_test.go
@@ -40,20 +40,20 @@
 
 // TestReadyAtIsEarliestTake checks that Take fails just before ReadyAt and succeeds just
 // after it.
-func TestBudgetIsReadyWhenItSays(t *testing.T) {
+func TestReadyAtIsEarliestTake(t *testing.T) {
 	is := is.New(t)
 	b := link.StartBudget(2_000_000)
 	now := time.UnixMilli(0)
 	for b.Take(1000, now) {
 	}
-	ready := b.Ready(now)
+	ready := b.ReadyAt(now)
 	is.True(ready.After(now))
 	is.True(!b.Take(1000, ready.Add(-time.Millisecond)))
 	is.True(b.Take(1000, ready.Add(time.Millisecond)))
 }
 
 // TestUnknownRateHasNoLimit covers settings without a link rate.
-func TestLinkOfUnknownRateBoundsNothing(t *testing.T) {
+func TestUnknownRateHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	b := link.StartBudget(0)
 	for range 1000 {
--- a/operate/handler.go
+++ b/operate/handler.go
@@ -252,7 +252,7 @@
 	var (
 		invalid  *intent.InvalidError
 		refusals *settings.Refusals
-		never    *wave.NeverError
+		never    *wave.InfeasibleError
 		exceeded *budget.ExceededError
 		changed  *intent.ChangedError
 		shared   *intent.ConflictError
--- a/outside/breaker.go
+++ b/outside/breaker.go
@@ -11,18 +11,18 @@
 
 // minPause is the pause after the first failed try. It is short because a lost answer or
 // a briefly overloaded partition must not delay the next caller for long.
-const breakerFirst = 50 * time.Millisecond
+const minPause = 50 * time.Millisecond
 
 const (
 	// provenFor is how long a success proves that calls work. It is many times the
 	// duration of a call without load, which is 5 ms.
-	provedFor = time.Second
+	provenFor = time.Second
 
 	// maxUnproven is the maximum number of concurrent tries while no recent success proves
 	// that calls work. Without it, callers that arrive together are all let through before
 	// the first of their tries has failed: up to 192 calls instead of 20 with 300 callers
 	// under load. Without load, one or two tries run concurrently.
-	unprovedMost = 4
+	maxUnproven = 4
 )
 
 // Breaker is a circuit breaker: it limits how often all callers together try an operation
@@ -33,14 +33,14 @@
 	clock clock.Clock
 
 	// maxPause returns the longest pause.
-	most func() time.Duration
+	maxPause func() time.Duration
 
 	mu sync.Mutex
 
 	// inFlight counts the tries that have not ended. provenUntil is the time until which
 	// the last success counts.
-	underWay    int
-	provedUntil time.Time
+	inFlight    int
+	provenUntil time.Time
 
 	// failures counts consecutive failed tries. Tries that were in flight together count
 	// once.
@@ -48,15 +48,15 @@
 
 	// retryAt is the time from which the next try is allowed if failures is above zero.
 	// probing is set while that try is in flight.
-	until   time.Time
+	retryAt time.Time
 	probing bool
 }
 
 // Breakers holds a breaker per operation, by name. Breakers are never removed; callers use
 // only a few names per service.
 type Breakers struct {
-	clock clock.Clock
-	most  func() time.Duration
+	clock    clock.Clock
+	maxPause func() time.Duration
 
 	mu     sync.Mutex
 	byName map[string]*Breaker
@@ -65,9 +65,9 @@
 // NewBreakers returns breakers whose pauses grow up to the duration that maxPause returns.
 func NewBreakers(clock clock.Clock, maxPause func() time.Duration) *Breakers {
 	return &Breakers{
-		clock:  clock,
-		most:   maxPause,
-		byName: make(map[string]*Breaker),
+		clock:    clock,
+		maxPause: maxPause,
+		byName:   make(map[string]*Breaker),
 	}
 }
 
@@ -84,7 +84,7 @@
 			Reason: "the caller has gone",
 		}
 	}
-	breaker := b.named(name)
+	breaker := b.get(name)
 	allowed, probe := breaker.allow()
 	if !allowed {
 		return &NotDoneError{
@@ -111,14 +111,14 @@
 }
 
 // get returns the breaker of the given name and creates it if necessary.
-func (b *Breakers) named(name string) *Breaker {
+func (b *Breakers) get(name string) *Breaker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	breaker, found := b.byName[name]
 	if !found {
 		breaker = &Breaker{
-			clock: b.clock,
-			most:  b.most,
+			clock:    b.clock,
+			maxPause: b.maxPause,
 		}
 		b.byName[name] = breaker
 	}
@@ -132,34 +132,34 @@
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	if b.failures == 0 {
-		if b.underWay >= unprovedMost && !now.Before(b.provedUntil) {
+		if b.inFlight >= maxUnproven && !now.Before(b.provenUntil) {
 			return false, false
 		}
-		b.underWay++
+		b.inFlight++
 		return true, false
 	}
-	if b.probing || now.Before(b.until) {
+	if b.probing || now.Before(b.retryAt) {
 		return false, false
 	}
 	b.probing = true
-	b.underWay++
+	b.inFlight++
 	return true, true
 }
 
 func (b *Breaker) succeeded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.underWay--
+	b.inFlight--
 	b.failures = 0
 	b.probing = false
-	b.provedUntil = b.clock.Now().Add(provedFor)
+	b.provenUntil = b.clock.Now().Add(provenFor)
 }
 
 // abandoned ends a try whose caller gave up, which counts neither as success nor as failure.
 func (b *Breaker) abandoned(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.underWay--
+	b.inFlight--
 	if probe {
 		b.probing = false
 	}
@@ -170,11 +170,11 @@
 func (b *Breaker) failed(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.underWay--
+	b.inFlight--
 	if b.failures > 0 && !probe {
 		return
 	}
 	b.failures++
 	b.probing = false
-	b.until = b.clock.Now().Add(clock.Backoff(breakerFirst, max(breakerFirst, b.most()), b.failures))
+	b.retryAt = b.clock.Now().Add(clock.Backoff(minPause, max(minPause, b.maxPause()), b.failures))
 }
--- a/outside/breaker_test.go
+++ b/outside/breaker_test.go
@@ -20,7 +20,7 @@
 	}, func() time.Duration { return 400 * time.Millisecond })
 }
 
-func TestBreakerLetsOneTryThroughInEachPause(t *testing.T) {
+func TestBreakerAllowsOneTryPerPause(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
@@ -42,7 +42,7 @@
 	is.NoErr(b.Try(context.Background(), "b", func(context.Context) error { return nil })) // Another name has its own breaker.
 }
 
-func TestBreakerClosesWithTheFirstSuccess(t *testing.T) {
+func TestBreakerClosesOnFirstSuccess(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
@@ -57,7 +57,7 @@
 
 // TestAbandonedProbeAllowsNextProbe covers a caller that gives up while its try is the probe
 // of an open breaker.
-func TestAbandonedProbeLetsTheNextThrough(t *testing.T) {
+func TestAbandonedProbeAllowsNextProbe(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
@@ -73,7 +73,7 @@
 
 // TestConcurrentFailuresCountOnce covers many callers whose concurrent tries fail for the
 // same reason.
-func TestTriesThatWereUnderWayTogetherCountOnce(t *testing.T) {
+func TestConcurrentFailuresCountOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
@@ -95,7 +95,7 @@
 // breaker is open. Each was allowed as the probe, failed, and was counted as abandoned by its
 // caller, so the next one was allowed at the same instant. An entry made 134 calls instead of
 // 20, all but four of them at 250 ms, when its callers reached their deadline.
-func TestCallersAtTheirDeadlineDoNotOpenTheWay(t *testing.T) {
+func TestFailureAtDeadlineKeepsBreakerOpen(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
@@ -123,24 +123,24 @@
 // of their tries has failed. All of 300 such callers were allowed, because only a failure
 // opened the breaker; the store was spared only because few of them ran at once. After a
 // success every try is allowed, until a second passes without another success.
-func TestCallersThatComeTogetherAreLetThroughAFewAtATime(t *testing.T) {
+func TestConcurrentTriesAreLimitedUntilSuccess(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	b := breakers(&now)
 	succeed := func(context.Context) error { return nil }
-	is.Equal(together(b, 300), 4) // No try has succeeded or failed yet.
+	is.Equal(countConcurrentTries(b, 300), 4) // No try has succeeded or failed yet.
 	now = now.Add(100 * time.Millisecond)
 	is.NoErr(b.Try(context.Background(), "a", succeed))
-	is.Equal(together(b, 300), 300)
+	is.Equal(countConcurrentTries(b, 300), 300)
 	now = now.Add(100 * time.Millisecond)
 	is.NoErr(b.Try(context.Background(), "a", succeed))
 	now = now.Add(time.Second)
-	is.Equal(together(b, 300), 4)
+	is.Equal(countConcurrentTries(b, 300), 4)
 }
 
 // countConcurrentTries makes tries that are all in flight before the first of them fails,
 // and returns how many were allowed.
-func together(b *outside.Breakers, callers int) int {
+func countConcurrentTries(b *outside.Breakers, callers int) int {
 	made := 0
 	var nest func(depth int) error
 	nest = func(depth int) error {
--- a/outside/call.go
+++ b/outside/call.go
@@ -25,7 +25,7 @@
 // IsUnavailable reports whether the other side answered with status 503, which means that it
 // serves no calls at the moment. A server that is busy with earlier calls answers with another
 // status.
-func IsTurnedAway(err error) bool {
+func IsUnavailable(err error) bool {
 	var refused *NotDoneError
 	return errors.As(err, &refused) && refused.Status == http.StatusServiceUnavailable
 }
--- a/outside/call_test.go
+++ b/outside/call_test.go
@@ -13,7 +13,7 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-func TestOnlyARefusedConnectionIsCertain(t *testing.T) {
+func TestOnlyRefusedConnectionIsNotDone(t *testing.T) {
 	refused := &net.OpError{
 		Op:  "dial",
 		Err: os.NewSyscallError("connect", syscall.ECONNREFUSED),
--- a/outside/incarnation.go
+++ b/outside/incarnation.go
@@ -8,7 +8,7 @@
 
 // incarnationSeparator separates the worker's id from its start time in the name of an
 // incarnation.
-const incarnationMark = "@"
+const incarnationSeparator = "@"
 
 // Incarnation identifies one incarnation of a worker. A worker that restarts under its id
 // begins a new incarnation, which keeps no state of the previous one. Everything known about
@@ -24,13 +24,13 @@
 // ParseIncarnation parses a name that String returned. A name without a start time is a
 // worker's id, as stored in rows by earlier versions.
 func ParseIncarnation(name string) Incarnation {
-	at := strings.LastIndex(name, incarnationMark)
+	at := strings.LastIndex(name, incarnationSeparator)
 	if at < 0 {
 		return Incarnation{
 			Worker: name,
 		}
 	}
-	ms, err := strconv.ParseInt(name[at+len(incarnationMark):], 10, 64)
+	ms, err := strconv.ParseInt(name[at+len(incarnationSeparator):], 10, 64)
 	if err != nil {
 		return Incarnation{
 			Worker: name,
@@ -60,9 +60,9 @@
 func (i Incarnation) String() string {
 	switch {
 	case !i.Born.IsZero():
-		return i.Worker + incarnationMark + strconv.FormatInt(i.Born.UnixMilli(), 10)
-	case strings.Contains(i.Worker, incarnationMark):
-		return i.Worker + incarnationMark + "0"
+		return i.Worker + incarnationSeparator + strconv.FormatInt(i.Born.UnixMilli(), 10)
+	case strings.Contains(i.Worker, incarnationSeparator):
+		return i.Worker + incarnationSeparator + "0"
 	default:
 		return i.Worker
 	}
--- a/outside/incarnation_test.go
+++ b/outside/incarnation_test.go
@@ -11,7 +11,7 @@
 	"lemonstream.dev/lemonstream/outside"
 )
 
-func TestIncarnationsOfAWorkerDifferByTheirStart(t *testing.T) {
+func TestIncarnationsDifferByStartTime(t *testing.T) {
 	first := outside.Incarnation{
 		Worker: "i-1",
 		Born:   time.UnixMilli(1_000),
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestNameOfAnIncarnationIsReadAsWritten(t *testing.T) {
+func TestIncarnationNameRoundTrip(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		i := outside.Incarnation{
 			Worker: rapid.StringMatching(`[a-z0-9@-]{1,12}`).Draw(t, "worker"),
--- a/outside/pages.go
+++ b/outside/pages.go
@@ -9,18 +9,18 @@
 	// firstPageRows, maxPageRows and minPageRows are numbers of rows per page. The first
 	// page takes about 0.2 s over a link of 2 Mbit/s with rows of 1.5 kB. The store returns
 	// at most 500 rows per read.
-	pageFirst = 32
-	pageMost  = 500
-	pageLeast = 2
+	firstPageRows = 32
+	maxPageRows   = 500
+	minPageRows   = 2
 
 	// targetPageTime is the target duration of one page read. It is a sixth of the read
 	// timeout, so that a page also arrives over a link shared with other traffic.
-	pageTime = 150 * time.Millisecond
+	targetPageTime = 150 * time.Millisecond
 
 	// maxPageFailures is the number of consecutive failed reads after which ReadPages gives
 	// up. Each failure halves the number of rows, down to minPageRows. The number of
 	// failures is limited because an unavailable store does not answer smaller reads either.
-	pageTries = 3
+	maxPageFailures = 3
 )
 
 // pager decides how many rows the next read of a part requests. It serves parts whose rows
@@ -34,29 +34,29 @@
 // newPager returns a pager for a part that has not been read yet.
 func newPager() *pager {
 	return &pager{
-		limit: pageFirst,
+		limit: firstPageRows,
 	}
 }
 
 // recordPage adjusts the page size after a page with the given number of rows has arrived.
-func (p *pager) took(rows int, after time.Duration) {
+func (p *pager) recordPage(rows int, after time.Duration) {
 	p.failures = 0
 	if rows < p.limit {
 		return
 	}
 	switch {
-	case after > pageTime:
-		p.limit = max(pageLeast, p.limit/2)
-	case after < pageTime/2:
-		p.limit = min(pageMost, 2*p.limit)
+	case after > targetPageTime:
+		p.limit = max(minPageRows, p.limit/2)
+	case after < targetPageTime/2:
+		p.limit = min(maxPageRows, 2*p.limit)
 	}
 }
 
 // recordFailure halves the page size after a failed read and reports whether to retry.
-func (p *pager) missed() bool {
+func (p *pager) recordFailure() bool {
 	p.failures++
-	p.limit = max(pageLeast, p.limit/2)
-	return p.failures < pageTries
+	p.limit = max(minPageRows, p.limit/2)
+	return p.failures < maxPageFailures
 }
 
 // ReadAll reads all rows of a part page by page. It returns the version of the first page, so
@@ -80,12 +80,12 @@
 		began := time.Now()
 		page, err := t.Get(ctx, table, part, from, p.limit)
 		if err != nil {
-			if ctx.Err() == nil && IsUncertain(err) && p.missed() {
+			if ctx.Err() == nil && IsUncertain(err) && p.recordFailure() {
 				continue
 			}
 			return 0, err
 		}
-		p.took(len(page.Rows), time.Since(began))
+		p.recordPage(len(page.Rows), time.Since(began))
 		if from == "" {
 			first = page.Version
 		}
--- a/outside/pages_test.go
+++ b/outside/pages_test.go
@@ -15,7 +15,7 @@
 // slowLinkTable returns a table with the given number of rows, each of which takes the given
 // time to transfer. A read that exceeds the read timeout returns an *UncertainError. The limit
 // of every read is appended to asked.
-func thinTable(rows int, each time.Duration, asked *[]int) outside.Table {
+func slowLinkTable(rows int, each time.Duration, asked *[]int) outside.Table {
 	const within = 900 * time.Millisecond
 	return outside.Table{
 		Get: func(_ context.Context, table, part, from string, limit int) (outside.Page, error) {
@@ -55,7 +55,7 @@
 
 // TestReadCompletesOverAnyLink reads large parts over slow and fast links: each row arrives
 // once, in order.
-func TestReadArrivesOverAnyLink(t *testing.T) {
+func TestReadCompletesOverAnyLink(t *testing.T) {
 	for name, each := range map[string]time.Duration{
 		"200 Mbit/s": 60 * time.Microsecond,
 		"2 Mbit/s":   6 * time.Millisecond,
@@ -65,7 +65,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				var asked []int
-				rows, version, err := thinTable(1203, each, &asked).ReadAll(t.Context(), "t", "p")
+				rows, version, err := slowLinkTable(1203, each, &asked).ReadAll(t.Context(), "t", "p")
 				is.NoErr(err)
 				is.Equal(version, int64(7))
 				is.Equal(len(rows), 1203)
@@ -79,11 +79,11 @@
 
 // TestReadOverFastLinkTakesFewCalls limits the number of calls that the small first pages
 // cause over a link that could transfer all rows quickly.
-func TestReadOverAWideLinkTakesFewCalls(t *testing.T) {
+func TestReadOverFastLinkTakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var asked []int
-		_, _, err := thinTable(2000, 60*time.Microsecond, &asked).ReadAll(t.Context(), "t", "p")
+		_, _, err := slowLinkTable(2000, 60*time.Microsecond, &asked).ReadAll(t.Context(), "t", "p")
 		is.NoErr(err)
 		is.True(len(asked) <= 8)
 	})
@@ -91,11 +91,11 @@
 
 // TestReadOfUnavailableStoreEnds covers a store that never answers: the read gives up after a
 // few tries.
-func TestReadOfAStoreThatIsAwayEnds(t *testing.T) {
+func TestReadOfUnavailableStoreEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var asked []int
-		_, _, err := thinTable(1, time.Hour, &asked).ReadAll(t.Context(), "t", "p")
+		_, _, err := slowLinkTable(1, time.Hour, &asked).ReadAll(t.Context(), "t", "p")
 		is.True(outside.IsUncertain(err))
 		is.Equal(len(asked), 3)
 	})
--- a/outside/stopwatch.go
+++ b/outside/stopwatch.go
@@ -18,13 +18,13 @@
 }
 
 // WithStopwatch returns a context that carries a new stopwatch for one call, and the stopwatch.
-func Timed(ctx context.Context) (context.Context, *Stopwatch) {
+func WithStopwatch(ctx context.Context) (context.Context, *Stopwatch) {
 	watch := &Stopwatch{}
 	return context.WithValue(ctx, stopwatchKey{}, watch), watch
 }
 
 // RecordTook records the duration of the answered try in the stopwatch of ctx, if there is one.
-func NoteTook(ctx context.Context, took time.Duration) {
+func RecordTook(ctx context.Context, took time.Duration) {
 	if watch, timed := ctx.Value(stopwatchKey{}).(*Stopwatch); timed {
 		watch.took.Store(int64(took))
 	}
--- a/outside/stopwatch_test.go
+++ b/outside/stopwatch_test.go
@@ -13,18 +13,18 @@
 
 // TestSilentConnectionDoesNotCountAsSlowStore covers a read over a connection that went silent:
 // the retry is answered at once, so the store is not slow.
-func TestSilentConnectionIsNoSlowStore(t *testing.T) {
+func TestSilentConnectionDoesNotCountAsSlowStore(t *testing.T) {
 	const silent, quick, wait = 450 * time.Millisecond, 4 * time.Millisecond, time.Second
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
-	timeout := outside.NewPatience(clock.Clock{
+	timeout := outside.NewAdaptiveTimeout(clock.Clock{
 		Now: func() time.Time { return now },
 	})
 	answer := func(ctx context.Context) {
 		now = now.Add(silent + quick)
-		outside.NoteTook(ctx, quick)
+		outside.RecordTook(ctx, quick)
 	}
-	table := timeout.Hasten(outside.Table{
+	table := timeout.Wrap(outside.Table{
 		Feed: func(ctx context.Context, _ string, _ int64, wait time.Duration) (outside.Change, error) {
 			now = now.Add(wait)
 			answer(ctx)
--- a/outside/timeout_test.go
+++ b/outside/timeout_test.go
@@ -16,17 +16,17 @@
 // slow: in both cases the timeout must grow until transactions succeed. The test reads the
 // timeout from the deadline of the call, so it needs simulated time: with real time, a pause of
 // the process of 5 ms made it read 190 ms instead of 200 ms.
-func TestTransactionWithoutAnswerIsGivenUpOnSoon(t *testing.T) {
+func TestUnansweredTransactionTimesOutSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		now := time.UnixMilli(1_000_000)
 		takes := 10 * time.Millisecond
 		reads := 4 * time.Millisecond
 		given := time.Duration(0)
-		timeout := outside.NewPatience(clock.Clock{
+		timeout := outside.NewAdaptiveTimeout(clock.Clock{
 			Now: func() time.Time { return now },
 		})
-		table := timeout.Hasten(outside.Table{
+		table := timeout.Wrap(outside.Table{
 			Transact: func(ctx context.Context, _ outside.Transaction) (outside.Receipt, error) {
 				deadline, _ := ctx.Deadline()
 				given = time.Until(deadline).Round(10 * time.Millisecond)
--- a/outside/worker.go
+++ b/outside/worker.go
@@ -59,7 +59,7 @@
 type EndKind string
 
 // WorkerStatus is the answer of a worker to a poll.
-type Glance struct {
+type WorkerStatus struct {
 	// Born is the start time of the incarnation that answered; zero if not reported.
 	Born time.Time
 
@@ -155,7 +155,7 @@
 type Workers struct {
 	// Poll renews the leases at a worker and returns its runs and ends. It returns a
 	// *GoneError, *WorkerRefusedError, *NotDoneError or *UncertainError.
-	Hold func(ctx context.Context, worker WorkerRef, renewal Renewal) (Glance, error)
+	Poll func(ctx context.Context, worker WorkerRef, renewal Renewal) (WorkerStatus, error)
 
 	// Pace sets the share of its full speed at which a run works, in percent from 0 to 100.
 	Pace func(ctx context.Context, worker WorkerRef, task job.TaskID, run int64, percent int, fence int64) (time.Duration, error)
--- a/owner/answers.go
+++ b/owner/answers.go
@@ -23,7 +23,7 @@
 // State returns the job state that callers may see. It reports false for an unfinished job
 // until the standby partition is read, as that may hold the job's final state.
 func (d *Duty) State(id string) (job.State, bool) {
-	state, found := d.shown.Load(id)
+	state, found := d.published.Load(id)
 	if !found {
 		return "", false
 	}
@@ -49,9 +49,9 @@
 func (d *Duty) Load(ctx context.Context, directive Directive) (shard.Load, error) {
 	answer := make(chan shard.Load, 1)
 	err := d.push(func(d *Duty, now time.Time) {
-		d.core.End(directive.Ended, now)
+		d.core.RemoveTaken(directive.Ended, now)
 		d.core.SetClosed(directive.Closed, now)
-		d.core.SetMost(directive.Most)
+		d.core.SetMaxInstances(directive.Most)
 		answer <- d.core.Load(now)
 	})
 	if err != nil {
--- a/owner/backlog_test.go
+++ b/owner/backlog_test.go
@@ -18,8 +18,8 @@
 const (
 	// slowLinkBytes is how many bytes a link of 2 Mbit/s transfers per second. readTimeout is
 	// the timeout of a read.
-	thinLink   = 250_000
-	readWithin = 900 * time.Millisecond
+	slowLinkBytes = 250_000
+	readTimeout   = 900 * time.Millisecond
 
 	// backlog is the number of queued jobs. A job takes about 1.5 kB, so that reading all of
 	// them takes 6 s on that link.
@@ -28,7 +28,7 @@
 
 // withSlowLink returns a table whose reads take as long as the transfer of their rows over a
 // slow link. A read that takes longer than readTimeout fails without an answer.
-func overThinLink(table outside.Table) outside.Table {
+func withSlowLink(table outside.Table) outside.Table {
 	read := table.Get
 	table.Get = func(ctx context.Context, name, part, from string, limit int) (outside.Page, error) {
 		page, err := read(ctx, name, part, from, limit)
@@ -36,9 +36,9 @@
 		for _, row := range page.Rows {
 			bytes += len(row.Value)
 		}
-		took := time.Duration(bytes) * time.Second / thinLink
-		time.Sleep(min(took, readWithin))
-		if took > readWithin {
+		took := time.Duration(bytes) * time.Second / slowLinkBytes
+		time.Sleep(min(took, readTimeout))
+		if took > readTimeout {
 			return outside.Page{}, &outside.UncertainError{
 				Call:  "read",
 				Cause: context.DeadlineExceeded,
@@ -52,7 +52,7 @@
 // TestOwnerKeepsServiceWhileReadingLongBacklog has entries with slow links claim a service
 // whose jobs piled up while it had no owner. The first owner has to keep the service until it
 // has read all jobs, although another entry would replace a silent owner.
-func TestOwnerWithALongBacklogServes(t *testing.T) {
+func TestOwnerKeepsServiceWhileReadingLongBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		rows := standin.NewRows()
@@ -61,9 +61,9 @@
 			waiting.Spec.Text = strings.Repeat("x", 1400)
 			rows.Write(owner.IntakeKey("s", waiting.ID), waiting.Encode())
 		}
-		a := newEntryOn(t, "a", overThinLink(rows.Table()), alive("a"))
+		a := newEntryOn(t, "a", withSlowLink(rows.Table()), alive("a"))
 		until(t, "the entry takes the service", func() bool { return a.lines.of("service taken") > 0 })
-		b := newEntryOn(t, "b", overThinLink(rows.Table()), a.ownWord("a"))
+		b := newEntryOn(t, "b", withSlowLink(rows.Table()), a.answerPing("a"))
 		until(t, "the owner serves", a.owns)
 		is.Equal(a.lines.of("service taken"), 1)
 		is.Equal(b.lines.of("service taken"), 0)
--- a/owner/cancellation_test.go
+++ b/owner/cancellation_test.go
@@ -15,14 +15,14 @@
 
 // TestCancellationOfStandbyJob lets an entry claim a service with a job that is stored in the
 // standby partition and whose cancellation is stored in the service's own partition.
-func TestCancellationOfAJobInTheStandbyPart(t *testing.T) {
+func TestCancellationOfStandbyJob(t *testing.T) {
 	rows := standin.NewRows()
 	first := newEntry(t, "a", rows, alive("a"))
 	until(t, "the first entry owns the service", first.owns)
 	first.group.Stop()
 	rows.Write(owner.StandbyIntakeKey("s", "job"), record("job").Encode())
 	rows.Write(owner.CancelKey("s", "job"), []byte("cancel"))
-	second := newEntry(t, "b", rows, refused)
+	second := newEntry(t, "b", rows, refusePing)
 	until(t, "the second entry owns the service", second.owns)
 	untilCancelled(t, second, rows, "job")
 }
@@ -42,7 +42,7 @@
 }
 
 // refusePing is the ping of an entry that has ended.
-func refused(context.Context, netip.AddrPort, string) (owner.Pong, error) {
+func refusePing(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 	return owner.Pong{}, &outside.NotDoneError{
 		Call: "ping",
 	}
@@ -58,7 +58,7 @@
 			return false
 		}
 		state, found := duty.State(id)
-		return found && state == job.Cancelled && !standsInStandby(t, rows, owner.CancelKey("s", id)) &&
-			!standsInStandby(t, rows, owner.IntakeKey("s", id)) && !standsInStandby(t, rows, owner.StandbyIntakeKey("s", id))
+		return found && state == job.Cancelled && !isInStandby(t, rows, owner.CancelKey("s", id)) &&
+			!isInStandby(t, rows, owner.IntakeKey("s", id)) && !isInStandby(t, rows, owner.StandbyIntakeKey("s", id))
 	})
 }
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -13,11 +13,11 @@
 
 // maybeClaim pings the current owner of a service when a ping is due, and starts to claim the
 // service once it has been free for long enough. The caller holds k.mu.
-func (k *Keeper) consider(ctx context.Context, service string, now time.Time) {
+func (k *Keeper) maybeClaim(ctx context.Context, service string, now time.Time) {
 	o := k.owners[service]
 	w := k.watches[service]
 	if w == nil || w.epoch != o.Epoch {
-		w = &watch{
+		w = &ownerWatch{
 			epoch: o.Epoch,
 		}
 		k.watches[service] = w
@@ -26,9 +26,9 @@
 	free := o.Owner == "" || o.Released || o.Owner == k.self.Incarnation || w.dead || w.lost
 	if !free {
 		w.freeSince = time.Time{}
-		if !w.pinging && now.Sub(w.pinged) >= pingPause*time.Duration(1+rank) {
+		if !w.pinging && now.Sub(w.pingedAt) >= pingInterval*time.Duration(1+rank) {
 			w.pinging = true
-			w.pinged = now
+			w.pingedAt = now
 			k.deps.Group.Go("ping", func(context.Context) error {
 				k.probe(ctx, service, o)
 				return nil
@@ -39,18 +39,18 @@
 	if w.freeSince.IsZero() {
 		w.freeSince = now
 	}
-	wait := k.pause(o, rank)
+	wait := k.claimDelay(o, rank)
 	if now.Before(w.notBefore) || now.Sub(w.freeSince) < wait {
 		return
 	}
-	k.seizing[service] = true
+	k.active[service] = true
 	ended := w.dead || o.Released || o.Owner == "" || o.Owner == k.self.Incarnation
 	still := int64(0)
 	if !ended {
 		still = w.still.version
 	}
 	k.deps.Group.Go("take "+service, func(context.Context) error {
-		k.seize(ctx, service, o, ended, still)
+		k.claimAndRun(ctx, service, o, ended, still)
 		return nil
 	})
 }
@@ -58,7 +58,7 @@
 // claimDelay returns how long a part must have been free before this entry claims it. The
 // entry that the part was released for claims it at once. The others wait according to their
 // rank, as if that entry ranked before all of them.
-func (k *Keeper) pause(o known, rank int) time.Duration {
+func (k *Keeper) claimDelay(o ownerRow, rank int) time.Duration {
 	switch o.Next {
 	case k.self.Incarnation:
 		return 0
@@ -66,7 +66,7 @@
 	default:
 		rank++
 	}
-	return rankPause*time.Duration(rank) + ownedPause*time.Duration(len(k.seizing))
+	return rankDelay*time.Duration(rank) + ownedDelay*time.Duration(len(k.active))
 }
 
 // rank returns the position of this entry among the possible successors of an owner, from 0.
@@ -93,7 +93,7 @@
 }
 
 // probe pings an owner and marks it as dead or lost in its ownerWatch.
-func (k *Keeper) probe(ctx context.Context, service string, o known) {
+func (k *Keeper) probe(ctx context.Context, service string, o ownerRow) {
 	var pong Pong
 	address, err := netip.ParseAddrPort(o.Peer)
 	if err == nil {
@@ -108,21 +108,21 @@
 		return
 	}
 	defer func() { w.pinging = false }()
-	away := err == nil && pong.TurnedAway >= turnedAway
-	suspect, silent := k.judge(w, o, pong, err)
+	away := err == nil && pong.TurnedAway >= rejectionTimeout
+	suspect, silent := k.evaluatePong(w, o, pong, err)
 	if w.dead {
 		k.deps.Log.Info("owner has ended", "service", service, "owner", o.Owner, "epoch", o.Epoch)
 	}
 	if !suspect && !away {
-		w.still = stillness{}
+		w.still = unchangedBeat{}
 		return
 	}
 	k.mu.Unlock()
 	_, version, err := k.beat(ctx, service)
 	k.mu.Lock()
-	still := w.still.note(version, err, k.deps.Clock.Now())
+	still := w.still.observe(version, err, k.deps.Clock.Now())
 	// The store serves this entry, but by the owner's own report rejects the owner's writes.
-	if served := err == nil; (away && served) || (silent && still >= k.patient(silentWrites)) {
+	if served := err == nil; (away && served) || (silent && still >= k.scaleTimeout(silenceTimeout)) {
 		w.lost = true
 		k.deps.Log.Info("owner writes nothing", "service", service, "owner", o.Owner, "epoch", o.Epoch,
 			"still_ms", still.Milliseconds(), "write_age_ms", pong.WriteAge.Milliseconds(), "failed_pings", w.failures,
@@ -132,31 +132,31 @@
 
 // evaluatePong handles the result of a ping. suspect means that the owner's heartbeat has to be
 // watched, silent that the owner is lost if its heartbeat does not change.
-func (k *Keeper) judge(w *watch, o known, pong Pong, err error) (suspect, silent bool) {
+func (k *Keeper) evaluatePong(w *ownerWatch, o ownerRow, pong Pong, err error) (suspect, silent bool) {
 	switch {
 	case err == nil && pong.Incarnation != o.Owner, outside.IsNotDone(err):
 		w.dead = true
 		return false, false
 	case err != nil:
 		w.failures++
-		return true, w.failures >= silentPings
+		return true, w.failures >= minFailedPings
 	case !pong.Owns:
 		return true, true
 	}
 	w.failures = 0
-	return pong.WriteAge >= k.patient(suspectWrites), pong.WriteAge >= k.patient(staleWrites)
+	return pong.WriteAge >= k.scaleTimeout(suspectWriteAge), pong.WriteAge >= k.scaleTimeout(staleWriteAge)
 }
 
 // observe handles one read of the heartbeat and returns for how long its version has not
 // changed. A failed read restarts the measurement: the store may have failed for the owner as
 // well, and the owner may be about to write again.
-func (s *stillness) note(version int64, err error, now time.Time) time.Duration {
+func (s *unchangedBeat) observe(version int64, err error, now time.Time) time.Duration {
 	if err != nil {
-		*s = stillness{}
+		*s = unchangedBeat{}
 		return 0
 	}
 	if s.since.IsZero() || version != s.version {
-		*s = stillness{
+		*s = unchangedBeat{
 			version: version,
 			since:   now,
 		}
@@ -166,7 +166,7 @@
 
 // scaleTimeout returns a timeout for an owner's writes, given its normal value. It is longer
 // while the store is slow, because each write then takes as long as several normal ones.
-func (k *Keeper) patient(normal time.Duration) time.Duration {
+func (k *Keeper) scaleTimeout(normal time.Duration) time.Duration {
 	if k.deps.Slow() {
 		return slowFactor * normal
 	}
@@ -193,7 +193,7 @@
 // of earlier owners may still be unobserved; the claim writes the longer of it and of what the
 // previous heartbeat says. If the transaction gets no answer, claim reads the row to find out
 // whether it was applied.
-func (k *Keeper) claim(ctx context.Context, service string, o known, unchangedVersion int64, unobservedFor time.Duration) (claim, error) {
+func (k *Keeper) claim(ctx context.Context, service string, o ownerRow, unchangedVersion int64, unobservedFor time.Duration) (claim, error) {
 	before, version, err := k.beat(ctx, service)
 	if err != nil {
 		return claim{}, err
@@ -211,7 +211,7 @@
 		Peer:  k.self.Peer.String(),
 	}
 	value := encodeRow(next)
-	receipt, err := k.deps.Table.Transact(ctx, claiming(service, o.version, version, next, passedOn(before, unobservedFor)))
+	receipt, err := k.deps.Table.Transact(ctx, claimTransaction(service, o.version, version, next, claimBeat(before, unobservedFor)))
 	won := claim{
 		epoch:   next.Epoch,
 		version: receipt.Version,
@@ -222,7 +222,7 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		k.take(conflict.Rows)
+		k.applyOwners(conflict.Rows)
 		return claim{}, err
 	case outside.IsUncertain(err):
 		page, readErr := k.deps.Table.Get(ctx, TableOwners, service, "", 0)
@@ -233,7 +233,7 @@
 	default:
 		return claim{}, err
 	}
-	k.take([]outside.Row{{
+	k.applyOwners([]outside.Row{{
 		Key:     ownerKey(service),
 		Value:   value,
 		Version: won.version,
@@ -245,15 +245,15 @@
 // What the previous heartbeat says of workers and of taken instances stays true until the new
 // owner writes, because the new owner starts nothing before that. Its durations have become
 // shorter since but are copied unchanged: it is safe for them to be too long.
-func passedOn(before Beat, unobservedFor time.Duration) Beat {
+func claimBeat(before Beat, unobservedFor time.Duration) Beat {
 	beat := Beat{
-		Lapsed:      before.Lapsed,
-		Leased:      before.Leased,
-		Taken:       before.Taken,
-		Given:       before.Given,
-		BlindMillis: max(before.BlindMillis, millisUp(unobservedFor)),
+		IdleWorkers:      before.IdleWorkers,
+		Leased:           before.Leased,
+		Taken:            before.Taken,
+		ReleasedWorkers:  before.ReleasedWorkers,
+		UnobservedMillis: max(before.UnobservedMillis, ceilMillis(unobservedFor)),
 	}
-	if beat.BlindMillis > 0 {
+	if beat.UnobservedMillis > 0 {
 		beat.Ordered = before.Ordered
 	}
 	return beat
@@ -261,7 +261,7 @@
 
 // claimTransaction builds the transaction that gives a part to the next owner. It applies only
 // if the previous owner's rows still have the given versions. beat is the heartbeat to write.
-func claiming(part string, ownerVersion, beatVersion int64, next Ownership, beat Beat) outside.Transaction {
+func claimTransaction(part string, ownerVersion, beatVersion int64, next Ownership, beat Beat) outside.Transaction {
 	beat.Epoch = next.Epoch
 	return outside.Transaction{
 		Checks: []outside.Check{{
@@ -282,7 +282,7 @@
 }
 
 // unchangedBeat records since when a watched heartbeat has had the same version.
-type stillness struct {
+type unchangedBeat struct {
 	version int64
 
 	// since is when the version was first seen; zero while no heartbeat is watched.
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -49,12 +49,12 @@
 // TestClaimRecordsUnobservedTime lets an owner keep running without access to the store. The
 // claim of the next owner has to record for how long runs of the first one may be unobserved,
 // and the claim of the third owner has to carry the remaining time over.
-func TestClaimsSayForHowLongAnOwnerBeforeMayLive(t *testing.T) {
+func TestClaimRecordsUnobservedTime(t *testing.T) {
 	const lease = time.Second // The lease that newEntryOn sets.
 	is := is.New(t)
 	rows := standin.NewRows()
 	var away atomic.Bool
-	first := newEntryOn(t, "a", refusing(rows, &away), alive("a"))
+	first := newEntryOn(t, "a", rejecting(rows, &away), alive("a"))
 	until(t, "the first entry owns the service", first.owns)
 	away.Store(true)
 	var said, passedOn claimedBeats
@@ -65,21 +65,21 @@
 	})
 	until(t, "the second entry owns the service", second.owns)
 	second.group.Stop()
-	is.Equal(said.first().BlindMillis, owner.BlindFor(lease, false).Milliseconds())
+	is.Equal(said.first().UnobservedMillis, owner.UnobservedFor(lease, false).Milliseconds())
 	row, err := rows.Table().Row(context.Background(), outside.Key{
 		Table: "beat",
 		Part:  "s",
 		Name:  "beat",
 	})
 	is.NoErr(err)
-	left := beatIn(t, row.Value).BlindMillis
+	left := beatIn(t, row.Value).UnobservedMillis
 	third := newEntryOn(t, "c", passedOn.table(t, rows), func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.NotDoneError{
 			Call: "ping",
 		}
 	})
 	until(t, "the third entry owns the service", third.owns)
-	is.Equal(passedOn.first().BlindMillis, max(left, owner.BlindFor(lease, true).Milliseconds()))
+	is.Equal(passedOn.first().UnobservedMillis, max(left, owner.UnobservedFor(lease, true).Milliseconds()))
 }
 
 func beatIn(t *testing.T, value []byte) owner.Beat {
--- a/owner/commit.go
+++ b/owner/commit.go
@@ -11,22 +11,22 @@
 
 // maxWorkerRows bounds the worker rows in one transaction, so that worker and job rows together
 // stay below the entries that a transaction may hold.
-const workerRowsMost = 24
+const maxWorkerRows = 24
 
 // handoverOverheadBytes is the size of a heartbeat row without its workers: the epoch, the
 // sequence number, and the keys and lengths of the fields.
-const handoverBytes = 256
+const handoverOverheadBytes = 256
 
 // maxIncompleteCommits bounds the transactions during a release that are too full to hold every
 // end. Each holds about 30 jobs, so they cover several hundred jobs in about the time that a
 // release may take.
-const unwholeMost = 8
+const maxIncompleteCommits = 8
 
 // commit starts the next transaction, unless one is in flight or the pause after a failed one has
 // not passed. An idle owner only writes its heartbeat.
 func (d *Duty) commit(ctx context.Context, now time.Time) {
 	if d.tenure.failing() {
-		d.core.DropRefusals()
+		d.core.DropPendingRefusals()
 	}
 	if d.committing || now.Before(d.retryAt) {
 		if d.tenure.failing() && !d.standby.usable() {
@@ -34,24 +34,24 @@
 		}
 		return
 	}
-	workers := d.core.WorkerRows(workerRowsMost)
+	workers := d.core.WorkerRows(maxWorkerRows)
 	if d.releasing {
 		// Nothing will start on a new worker any more. A row would mark the worker as one that
 		// may run tasks, and the handover would not cover it.
 		workers.Used = nil
 	}
-	batch, found := d.core.TakeBatch(outside.MaxEntries-tenureEntries-len(workers.Used)-len(workers.Ended), now)
-	due := now.Sub(d.tenure.lastWrite) >= beatPause || !workers.Empty() || d.core.Unconfirmed()
+	batch, found := d.core.NextBatch(outside.MaxEntries-maxTenureEntries-len(workers.Used)-len(workers.Ended), now)
+	due := now.Sub(d.tenure.lastWrite) >= beatInterval || !workers.Empty() || d.core.NeedsConfirmation()
 	if !found && !due && !d.releasing {
 		return
 	}
 	d.committing = true
-	complete := !found || batch.Whole()
-	releasing := d.releasing && (complete || d.unwhole >= unwholeMost)
+	complete := !found || batch.IsComplete()
+	releasing := d.releasing && (complete || d.incompleteCommits >= maxIncompleteCommits)
 	if d.releasing && !complete {
-		d.unwhole++
+		d.incompleteCommits++
 	}
-	handover := d.core.HandOver(now, releasing && complete, d.deps.Site.RowBytes-handoverBytes)
+	handover := d.core.BuildHandover(now, releasing && complete, d.deps.Site.RowBytes-handoverOverheadBytes)
 	if releasing {
 		d.deps.Log.Info("service released", "service", d.service, "epoch", d.tenure.epoch, "whole", complete,
 			"idle", len(handover.Idle), "leased", len(handover.Leased))
@@ -61,13 +61,13 @@
 		version, err := d.tenure.writeOrGiveUp(ctx, tx)
 		d.pushLogged(func(d *Duty, at time.Time) {
 			d.committing = false
-			if d.undone(batch, err, at) {
+			if d.handleCommitFailure(batch, err, at) {
 				return
 			}
 			d.tenure.beatVersion = version
-			d.tenure.noteWrite(now)
+			d.tenure.recordWrite(now)
 			d.core.Confirm(workers, now)
-			d.core.Written(batch, at)
+			d.core.BatchWritten(batch, at)
 			if releasing {
 				close(d.released)
 			}
@@ -78,13 +78,13 @@
 
 // handleCommitFailure handles the error of a transaction that was not applied. It reports false if
 // there was no error.
-func (d *Duty) undone(batch shard.Batch, err error, now time.Time) bool {
+func (d *Duty) handleCommitFailure(batch shard.Batch, err error, now time.Time) bool {
 	if err == nil {
 		return false
 	}
 	if outside.IsNotDone(err) {
-		d.core.Undo(batch, nil, now)
-		d.retryAt = now.Add(commitRetry)
+		d.core.UndoBatch(batch, nil, now)
+		d.retryAt = now.Add(commitRetryInterval)
 		if !d.standby.usable() {
 			d.core.RefuseSubmitted()
 		}
@@ -112,7 +112,7 @@
 		})
 	}
 	d.deps.Log.Info("jobs stand already", "service", d.service, "epoch", d.tenure.epoch, "jobs", len(existing))
-	d.core.Undo(batch, existing, now)
+	d.core.UndoBatch(batch, existing, now)
 	return true
 }
 
@@ -137,16 +137,16 @@
 		})
 	}
 	for _, write := range batch.Writes {
-		d.progressRow(&rows, write)
+		d.addProgressRow(&rows, write)
 	}
-	d.refusalRows(&rows, batch)
+	d.addRefusalRows(&rows, batch)
 	return rows
 }
 
 // addRefusalRows adds the rows of the jobs that a batch refuses, on condition that none of their
 // records is stored, and removes the rows of expired refusals.
-func (d *Duty) refusalRows(rows *rowChanges, batch shard.Batch) {
-	for _, id := range batch.Lifted {
+func (d *Duty) addRefusalRows(rows *rowChanges, batch shard.Batch) {
+	for _, id := range batch.ExpiredRefusals {
 		rows.removes = append(rows.removes, RefusedKey(d.service, id))
 	}
 	for _, refused := range batch.Refused {
@@ -159,9 +159,9 @@
 }
 
 // addProgressRow adds the progress row of a job and removes the rows that it makes redundant.
-func (d *Duty) progressRow(rows *rowChanges, write shard.Write) {
+func (d *Duty) addProgressRow(rows *rowChanges, write shard.Write) {
 	key := ProgressKey(d.service, write.ID)
-	if write.Forget {
+	if write.RemoveProgress {
 		rows.removes = append(rows.removes, key)
 		return
 	}
@@ -169,10 +169,10 @@
 		Key:   key,
 		Value: write.Progress.Encode(),
 	})
-	if write.EndsRecord {
+	if write.RemoveRecord {
 		rows.removes = append(rows.removes, IntakeKey(d.service, write.ID))
 	}
-	if write.EndsCancel {
+	if write.RemoveCancelRequest {
 		rows.removes = append(rows.removes, CancelKey(d.service, write.ID))
 	}
 }
--- a/owner/duty.go
+++ b/owner/duty.go
@@ -20,24 +20,24 @@
 const (
 	// maxEvents bounds the queue of events for the loop. It holds the answers to several
 	// thousand orders.
-	eventsMost = 16_384
+	maxEvents = 16_384
 
 	// intakeInterval is the time between two reads of the intake table. They find jobs whose
 	// entry died after it wrote the job and before it called the owner.
-	intakePause = time.Second
+	intakeInterval = time.Second
 
 	// minLoopPause is the shortest pause between two rounds of the loop. A busy loop pauses
 	// loopPauseFactor times as long as its last round took, so that calls get their share of
 	// the processor, but at most maxLoopPause.
-	loopRest       = time.Millisecond
-	loopRestFactor = 2
-	loopRestMost   = 30 * time.Millisecond
+	minLoopPause    = time.Millisecond
+	loopPauseFactor = 2
+	maxLoopPause    = 30 * time.Millisecond
 
 	// ownerTimeout is how long an owner continues without a successful write. It spans the
 	// shorter outages of the store. It must not be longer: a successor that can't reach a worker
 	// waits this long plus a lease, and the platform expects a task that can run to do so about
 	// 7 s after the last disruption. See UnobservedFor.
-	ownerHorizon = 4 * time.Second
+	ownerTimeout = 4 * time.Second
 )
 
 // Deps holds the dependencies of a keeper and of the duties that it runs.
@@ -56,7 +56,7 @@
 	Options  shard.Options
 
 	// ListMembers reads the current list of entries. It may or may not include this one.
-	Listed func(ctx context.Context) ([]Member, error)
+	ListMembers func(ctx context.Context) ([]Member, error)
 
 	// Advice issues tickets that say which workers may run a step.
 	Advice outside.Advice
@@ -74,7 +74,7 @@
 
 	// RequestLoad sends a directive to the owner of a service, on any entry, and returns the
 	// service's load.
-	Loads func(ctx context.Context, service string, told Directive) (shard.Load, error)
+	RequestLoad func(ctx context.Context, service string, told Directive) (shard.Load, error)
 
 	// Holder is the name under which this entry orders instances.
 	Holder string
@@ -105,8 +105,8 @@
 	events *ring.Ring[event]
 
 	// published maps a job ID to the job state that callers may see.
-	shown   sync.Map
-	pending atomic.Pointer[map[string]int]
+	published sync.Map
+	pending   atomic.Pointer[map[string]int]
 
 	standby standby
 
@@ -115,7 +115,7 @@
 
 	// orphanProgress holds the progress of jobs whose record is not stored in the service's own
 	// partition, until the standby partition is read.
-	recordless map[string]shard.Progress
+	orphanProgress map[string]shard.Progress
 
 	// lookups holds the lookup that waits for the next read of the jobs' rows. The shard has at
 	// most one lookup in flight.
@@ -123,7 +123,7 @@
 
 	// inheritedBeat is the heartbeat that this owner writes until it has read its rows. It
 	// repeats the handover of the claim.
-	inherited Beat
+	inheritedBeat Beat
 
 	// quotas holds the service's shares of the organisations' limits.
 	quotas *quotas
@@ -137,13 +137,13 @@
 
 	// incompleteCommits counts the transactions since the release was requested that were too
 	// full to hold every end that the shard has handled.
-	unwhole int
+	incompleteCommits int
 
 	// ended says that the loop has ended. What it has not written is never written.
 	ended bool
 
 	// done is closed when the duty has ended.
-	over chan struct{}
+	done chan struct{}
 
 	// ready is set once the rows of the service have been read.
 	ready  atomic.Bool
@@ -155,44 +155,44 @@
 
 func newDuty(deps Deps, service string, won claim, now time.Time, unobservedFor time.Duration) *Duty {
 	options := deps.Options
-	options.BlindFor = unobservedFor
+	options.UnobservedFor = unobservedFor
 	log := deps.Log.With("service", service, "epoch", won.epoch)
 	d := &Duty{
-		deps:      deps,
-		service:   service,
-		tenure:    newTenure(deps, service, won, now),
-		events:    ring.New[event](eventsMost),
-		inherited: passedOn(won.before, unobservedFor),
-		quotas:    newQuotas(service, won.epoch),
-		lookups:   make(chan shard.Lookup, 1),
-		released:  make(chan struct{}),
-		over:      make(chan struct{}),
+		deps:          deps,
+		service:       service,
+		tenure:        newTenure(deps, service, won, now),
+		events:        ring.New[event](maxEvents),
+		inheritedBeat: claimBeat(won.before, unobservedFor),
+		quotas:        newQuotas(service, won.epoch),
+		lookups:       make(chan shard.Lookup, 1),
+		released:      make(chan struct{}),
+		done:          make(chan struct{}),
 	}
-	options.Report = func(event string, fields ...any) {
+	options.LogEvent = func(event string, fields ...any) {
 		deps.Count("decision", event)
 		log.Info(event, fields...)
 	}
-	options.Refused = func(reason string) { deps.Count("task_refused_seconds", reason) }
-	options.Show = func(id string, state job.State) {
+	options.CountRefusal = func(reason string) { deps.Count("task_refused_seconds", reason) }
+	options.PublishState = func(id string, state job.State) {
 		if state == "" {
-			d.shown.Delete(id)
+			d.published.Delete(id)
 			return
 		}
-		d.shown.Store(id, state)
+		d.published.Store(id, state)
 	}
 	options.Policy = func(route string) (catalog.Policy, bool) {
 		found, ok := deps.Catalog().Route(route)
 		return found.Policy, ok
 	}
 	options.Quota = func(organisation string) (shard.Quota, bool) {
-		return d.quotas.of(organisation, deps.Catalog())
+		return d.quotas.quotaFor(organisation, deps.Catalog())
 	}
 	d.core = shard.New(service, won.epoch, won.version, now, options)
 	handover := handoverOf(won.before, log)
-	d.core.Inherit(handover, won.read)
+	d.core.ApplyHandover(handover, won.read)
 	log.Info("workers inherited from previous owner", "idle", len(handover.Idle), "leased", len(handover.Leased))
 	if won.epoch > 1 {
-		d.core.AwaitStandby()
+		d.core.MarkStandbyUnread()
 	} else {
 		d.standbyRead.Store(true)
 	}
@@ -222,7 +222,7 @@
 		return err
 	}
 	d.deps.Group.Go("intake of "+d.service, func(context.Context) error {
-		return d.watchIntake(ctx, since)
+		return d.pollIntake(ctx, since)
 	})
 	stop := d.deps.Registry.Watch(d.service, func(l Listing) {
 		d.pushLogged(func(d *Duty, now time.Time) { d.core.SetWorkers(l.Workers, l.Regained, now) })
@@ -235,7 +235,7 @@
 func (d *Duty) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	pause := loopRest
+	pause := minLoopPause
 	for {
 		// Handle events that arrive close together in one round: a round that scans all
 		// waiting work costs more than an event.
@@ -254,18 +254,18 @@
 		for _, e := range d.events.Drain() {
 			e(d, now)
 		}
-		if d.handedOver() {
+		if d.isReleased() {
 			// The last transaction is applied. Another one would take up jobs that it can't write.
 			return nil
 		}
-		if err := d.lost(now); err != nil {
+		if err := d.checkLost(now); err != nil {
 			return err
 		}
-		next := now.Add(beatPause)
+		next := now.Add(beatInterval)
 		if !d.releasing {
 			orders, wake := d.core.Next(now)
-			d.carryOut(ctx, orders, now)
-			d.balance(ctx, now)
+			d.sendOrders(ctx, orders, now)
+			d.updateQuotas(ctx, now)
 			next = wake
 		}
 		d.commit(ctx, now)
@@ -273,15 +273,15 @@
 		if d.retryAt.After(now) && d.retryAt.Before(next) {
 			next = d.retryAt
 		}
-		d.publish()
+		d.publishPending()
 		took := d.deps.Clock.Now().Sub(now)
-		pause = min(loopRestMost, max(loopRest, loopRestFactor*took))
+		pause = min(maxLoopPause, max(minLoopPause, loopPauseFactor*took))
 		timer.Reset(max(time.Millisecond, next.Sub(now)))
 	}
 }
 
 // isReleased reports whether the transaction that hands the service over is applied.
-func (d *Duty) handedOver() bool {
+func (d *Duty) isReleased() bool {
 	select {
 	case <-d.released:
 		return true
@@ -290,14 +290,14 @@
 	}
 }
 
-func (d *Duty) lost(now time.Time) error {
+func (d *Duty) checkLost(now time.Time) error {
 	if d.core.Deposed() {
 		return &LostError{
 			Part:   d.service,
 			Reason: "a newer owner was seen",
 		}
 	}
-	if now.Sub(d.tenure.lastWrite) > ownerHorizon {
+	if now.Sub(d.tenure.lastWrite) > ownerTimeout {
 		return &LostError{
 			Part:   d.service,
 			Reason: "nothing could be written for " + now.Sub(d.tenure.lastWrite).String(),
@@ -312,22 +312,22 @@
 	}
 }
 
-func (d *Duty) publish() {
+func (d *Duty) publishPending() {
 	counts := d.core.Pending()
 	d.pending.Store(&counts)
 }
 
 // sendOrders sends each order in a goroutine of its own; the answer comes back as an event.
-func (d *Duty) carryOut(ctx context.Context, orders shard.Orders, now time.Time) {
-	for _, poll := range orders.Holds {
+func (d *Duty) sendOrders(ctx context.Context, orders shard.Orders, now time.Time) {
+	for _, poll := range orders.Polls {
 		d.deps.Group.Go("look", func(context.Context) error {
-			status, err := d.deps.Workers.Hold(ctx, poll.Worker, poll.Renewal)
-			d.pushLogged(func(d *Duty, at time.Time) { d.core.Held(poll, now, at, status, err) })
+			status, err := d.deps.Workers.Poll(ctx, poll.Worker, poll.Renewal)
+			d.pushLogged(func(d *Duty, at time.Time) { d.core.Polled(poll, now, at, status, err) })
 			return nil
 		})
 	}
 	for _, lookup := range orders.Lookups {
-		d.askLookup(lookup)
+		d.requestLookup(lookup)
 	}
 	for _, start := range orders.Starts {
 		d.deps.Group.Go("start", func(context.Context) error {
@@ -343,10 +343,10 @@
 			return nil
 		})
 	}
-	for _, request := range orders.Asks {
+	for _, request := range orders.TicketRequests {
 		d.deps.Group.Go("advice", func(context.Context) error {
 			tickets, err := d.deps.Advice.Ask(ctx, request.Step, request.Workers)
-			d.pushLogged(func(d *Duty, at time.Time) { d.core.Advised(request, tickets, err, at) })
+			d.pushLogged(func(d *Duty, at time.Time) { d.core.TicketsReceived(request, tickets, err, at) })
 			return nil
 		})
 	}
--- a/owner/fleet.go
+++ b/owner/fleet.go
@@ -19,21 +19,21 @@
 
 	// controlInterval is the time between two rounds of the instance controller. Demand
 	// doubles within a second or two, and a move takes longer than that.
-	fleetPause = 200 * time.Millisecond
+	controlInterval = 200 * time.Millisecond
 
 	// listInterval is the minimum time between two reads of the instance list. Each read
 	// costs as much as a call to the store.
-	listPause = 400 * time.Millisecond
+	listInterval = 400 * time.Millisecond
 
 	// bitsPerInstance is the size of one instance in the list, in bits. maxListLinkShare is
 	// the share of the entry's link that reading the list may use. Without this bound, 145
 	// instances would use a third of a 2 Mbit/s link, which the load requests need as well.
-	instanceBits = 8 * 260
-	listShare    = 0.2
+	bitsPerInstance  = 8 * 260
+	maxListLinkShare = 0.2
 
 	// maxListAgeIntervals is the maximum age of the list, in list intervals, at which
 	// orders may still be based on it.
-	listAges = 4
+	maxListAgeIntervals = 4
 
 	// loadTimeout is the timeout of a request for a service's load.
 	loadTimeout = 300 * time.Millisecond
@@ -41,33 +41,33 @@
 	// maxOrderWriteAge is the maximum age of the last write at which an order may still be
 	// sent to an instance. The next owner waits several times longer before its first order,
 	// so that an owner that was suspended sends none when it resumes.
-	orderFresh = time.Second
+	maxOrderWriteAge = time.Second
 
 	// orderRateWindow is the window over which the platform limits the number of orders.
-	orderSpan = time.Second
+	orderRateWindow = time.Second
 
 	// maxOrderedShare is the share of a row that recently ordered instances may take up in
 	// the heartbeat. orderedEntryBytes is the size of one of them: its name and the encoding.
-	orderedShare = 0.5
-	orderedBytes = 16
+	maxOrderedShare   = 0.5
+	orderedEntryBytes = 16
 
 	// staleOrderWindow is how long after a claim a previous controller that may still be
 	// running may send orders. It sends its last order at most maxOrderWriteAge after its
 	// last write, and was observed not to write for silenceTimeout.
-	aliveFor = orderFresh - silentWrites
+	staleOrderWindow = maxOrderWriteAge - silenceTimeout
 
 	// staleOrderMargin is the time between the last possible order of the previous
 	// controller and the first order of this one. An order that has not arrived by then
 	// never will. The instances that the previous controller ordered stay blocked for the
 	// platform's own pause (Site.HolderPause).
-	endedPause = 300 * time.Millisecond
+	staleOrderMargin = 300 * time.Millisecond
 
 	// endedRetention is how long service owners are told about a worker whose instance was
 	// taken. It is longer than the lifetime of a registration.
-	endedFor = 8 * time.Second
+	endedRetention = 8 * time.Second
 
 	// maxOpenWaves is the maximum number of waves in progress at one time.
-	waveRounds = 8
+	maxOpenWaves = 8
 )
 
 // WaveSource reads waves and tells where their state is published.
@@ -103,7 +103,7 @@
 
 // instanceController moves instances between pools and takes them down for maintenance.
 // One entry runs it at a time.
-type fleet struct {
+type instanceController struct {
 	deps   Deps
 	tenure *tenure
 	sizer  *pool.Sizer
@@ -119,34 +119,34 @@
 	ended  map[string]map[string]time.Time
 
 	// loadsRequestedAt is when the loads that the last plan is based on were requested.
-	asked time.Time
+	loadsRequestedAt time.Time
 
 	// fences holds the fencing token of each service owner that reported its load.
 	// releasedWorkers holds the workers whose instances are about to be ordered on the basis
 	// of those loads.
-	fences map[string]int64
-	given  []GivenRow
+	fences          map[string]int64
+	releasedWorkers []ReleasedRow
 
 	// maxInstances is how many instances each service could have, by the last plan.
-	most map[string]int
+	maxInstances map[string]int
 
 	// loggedTargets holds the target size that was last logged for each pool.
-	targets map[string]int
+	loggedTargets map[string]int
 
 	// lastOrders maps an instance to the time of its last order. It is written to the
 	// heartbeat for the next controller.
-	recent map[string]time.Time
+	lastOrders map[string]time.Time
 
 	// orderedAt is when the last orders were sent.
 	orderedAt time.Time
 
 	// noOrdersUntil is the time before which no order is sent, because the previous
 	// controller may have sent one shortly before.
-	quietUntil time.Time
+	noOrdersUntil time.Time
 
 	// blockedUntil is the time until which instances stay blocked that were ordered by a
 	// previous controller that may still be running. It is zero if there is none.
-	aloneUntil time.Time
+	blockedUntil time.Time
 
 	stop     chan struct{}
 	stopOnce sync.Once
@@ -154,7 +154,7 @@
 }
 
 // sizerOptions returns the options of the pool sizer.
-func (d Deps) sizing() pool.Options {
+func (d Deps) sizerOptions() pool.Options {
 	return pool.Options{
 		MoveTime:     d.Site.MoveTime,
 		MaintainTime: d.Site.MaintainTime,
@@ -166,48 +166,48 @@
 // Instances that were ordered by a previous controller that may still be running are blocked
 // for blockFor, or for the time remaining in the heartbeat of the previous controller if that
 // is longer: it may itself have waited for an earlier one.
-func newFleet(deps Deps, won claim, now time.Time, blockFor time.Duration) *fleet {
-	f := &fleet{
-		deps:     deps,
-		tenure:   newTenure(deps, partInstances, won, now),
-		sizer:    pool.NewSizer(deps.sizing()),
-		waves:    make(map[int64]*waveState),
-		closed:   make(map[string][]string),
-		ended:    make(map[string]map[string]time.Time),
-		targets:  make(map[string]int),
-		recent:   make(map[string]time.Time),
-		stop:     make(chan struct{}),
-		released: make(chan struct{}),
+func newInstanceController(deps Deps, won claim, now time.Time, blockFor time.Duration) *instanceController {
+	f := &instanceController{
+		deps:          deps,
+		tenure:        newTenure(deps, partInstances, won, now),
+		sizer:         pool.NewSizer(deps.sizerOptions()),
+		waves:         make(map[int64]*waveState),
+		closed:        make(map[string][]string),
+		ended:         make(map[string]map[string]time.Time),
+		loggedTargets: make(map[string]int),
+		lastOrders:    make(map[string]time.Time),
+		stop:          make(chan struct{}),
+		released:      make(chan struct{}),
 
 		orderedAt: now,
 	}
-	f.inheritTaken(won.before.Taken, now)
-	f.quietUntil = now.Add(endedPause)
-	if inherited := time.Duration(won.before.BlindMillis) * time.Millisecond; inherited > 0 {
-		f.aloneUntil = won.read.Add(inherited)
+	f.restoreTaken(won.before.Taken, now)
+	f.noOrdersUntil = now.Add(staleOrderMargin)
+	if inherited := time.Duration(won.before.UnobservedMillis) * time.Millisecond; inherited > 0 {
+		f.blockedUntil = won.read.Add(inherited)
 	}
-	if until := now.Add(blockFor); blockFor > 0 && until.After(f.aloneUntil) {
-		f.aloneUntil = until
+	if until := now.Add(blockFor); blockFor > 0 && until.After(f.blockedUntil) {
+		f.blockedUntil = until
 	}
-	if f.aloneUntil.IsZero() {
+	if f.blockedUntil.IsZero() {
 		return f
 	}
 	// The platform's pause begins after the last order that a previous controller may send.
-	if last := f.aloneUntil.Add(endedPause - deps.Site.HolderPause); last.After(f.quietUntil) {
-		f.quietUntil = last
+	if last := f.blockedUntil.Add(staleOrderMargin - deps.Site.HolderPause); last.After(f.noOrdersUntil) {
+		f.noOrdersUntil = last
 	}
 	for _, instance := range won.before.Ordered {
-		f.sizer.Block(instance, f.aloneUntil)
+		f.sizer.Block(instance, f.blockedUntil)
 		// The next controller may take over before the pause has passed.
-		f.recent[instance] = now
+		f.lastOrders[instance] = now
 	}
-	deps.Log.Info("instances left alone", "epoch", won.epoch, "count", len(won.before.Ordered), "ms", f.aloneUntil.Sub(now).Milliseconds())
+	deps.Log.Info("instances left alone", "epoch", won.epoch, "count", len(won.before.Ordered), "ms", f.blockedUntil.Sub(now).Milliseconds())
 	return f
 }
 
 // run runs the controller until ctx ends, or until ownership is released or lost.
-func (f *fleet) run(ctx context.Context) error {
-	if err := f.load(ctx); err != nil {
+func (f *instanceController) run(ctx context.Context) error {
+	if err := f.loadWaves(ctx); err != nil {
 		return err
 	}
 	// Watching keeps the registry of this entry up to date: service owners read the
@@ -221,16 +221,16 @@
 			err := f.write(ctx, true)
 			close(f.released)
 			return err
-		case <-f.deps.Clock.After(fleetPause):
+		case <-f.deps.Clock.After(controlInterval):
 		}
-		if err := f.round(ctx); err != nil {
+		if err := f.reconcile(ctx); err != nil {
 			return err
 		}
 	}
 }
 
 // release stops the controller and waits until its release is written, at most for wait.
-func (f *fleet) release(ctx context.Context, wait time.Duration) {
+func (f *instanceController) release(ctx context.Context, wait time.Duration) {
 	f.stopOnce.Do(func() { close(f.stop) })
 	select {
 	case <-f.released:
@@ -240,13 +240,13 @@
 }
 
 // reconcile observes the fleet, computes a plan and sends its orders once.
-func (f *fleet) round(ctx context.Context) error {
-	f.takeWaves()
+func (f *instanceController) reconcile(ctx context.Context) error {
+	f.updateWaves()
 	now := f.deps.Clock.Now()
 	// The last orders of the previous controller are visible only in a list that is read
 	// after it could send no more orders.
-	early := now.After(f.quietUntil) && f.listed.Before(f.quietUntil)
-	if early || now.Sub(f.listed) >= f.listPause() {
+	early := now.After(f.noOrdersUntil) && f.listed.Before(f.noOrdersUntil)
+	if early || now.Sub(f.listed) >= f.listInterval() {
 		list, err := f.deps.Instances.List(ctx)
 		if err != nil {
 			f.deps.Log.Warn("failed to list instances", "error", err.Error())
@@ -255,21 +255,21 @@
 			f.listed = f.deps.Clock.Now()
 		}
 	}
-	f.asked = f.deps.Clock.Now()
+	f.loadsRequestedAt = f.deps.Clock.Now()
 	view := pool.View{
-		Services:  f.services(ctx),
+		Services:  f.collectLoads(ctx),
 		Instances: f.instances,
 		Waves:     f.openWaves(),
 		Now:       f.deps.Clock.Now(),
 		Evacuated: f.deps.Options.Evacuated,
 	}
-	if view.Now.Sub(f.listed) < listAges*f.listPause() {
+	if view.Now.Sub(f.listed) < maxListAgeIntervals*f.listInterval() {
 		plan := f.sizer.Plan(view)
 		f.closed = plan.Closed
-		f.most = plan.Most
-		f.report(view, plan)
-		if view.Now.After(f.quietUntil) && f.listed.After(f.quietUntil) {
-			if err := f.order(ctx, plan); err != nil {
+		f.maxInstances = plan.MaxInstances
+		f.logTargets(view, plan)
+		if view.Now.After(f.noOrdersUntil) && f.listed.After(f.noOrdersUntil) {
+			if err := f.sendOrders(ctx, plan); err != nil {
 				return err
 			}
 		}
@@ -279,22 +279,22 @@
 }
 
 // listInterval returns the time between two reads of the instance list.
-func (f *fleet) listPause() time.Duration {
+func (f *instanceController) listInterval() time.Duration {
 	if f.deps.Site.LinkBits <= 0 {
-		return listPause
+		return listInterval
 	}
-	bits := float64(len(f.instances) * instanceBits)
-	return max(listPause, time.Duration(bits/(listShare*f.deps.Site.LinkBits)*float64(time.Second)))
+	bits := float64(len(f.instances) * bitsPerInstance)
+	return max(listInterval, time.Duration(bits/(maxListLinkShare*f.deps.Site.LinkBits)*float64(time.Second)))
 }
 
 // logTargets logs the size of each pool whose target changed, with the load behind it.
-func (f *fleet) report(view pool.View, plan pool.Plan) {
+func (f *instanceController) logTargets(view pool.View, plan pool.Plan) {
 	for _, service := range view.Services {
 		target := plan.Targets[service.Name]
-		if service.Asleep || target == f.targets[service.Name] {
+		if service.Asleep || target == f.loggedTargets[service.Name] {
 			continue
 		}
-		f.targets[service.Name] = target
+		f.loggedTargets[service.Name] = target
 		f.deps.Log.Info("pool sized", "service", service.Name, "target", target, "count", plan.Counts[service.Name],
 			"known", service.Known, "used_cpu", service.Load.Used.MilliCPU, "waiting_cpu", service.Load.Waiting.MilliCPU,
 			"coming_cpu", service.Load.Coming.MilliCPU, "spread", service.Load.Spread, "closed", len(plan.Closed[service.Name]),
@@ -304,7 +304,7 @@
 
 // collectLoads requests the load of every service from its owner. Each request carries the
 // closed workers, the ended incarnations and the maximum number of instances.
-func (f *fleet) services(ctx context.Context) []pool.Service {
+func (f *instanceController) collectLoads(ctx context.Context) []pool.Service {
 	configured := f.deps.Catalog().Services
 	list := make([]pool.Service, len(configured))
 	var all sync.WaitGroup
@@ -313,16 +313,16 @@
 			Name:   service.Name,
 			Asleep: service.Asleep,
 		}
-		ended := f.endedOf(service.Name)
+		ended := f.endedWorkers(service.Name)
 		all.Add(1)
 		f.deps.Group.Go("load", func(context.Context) error {
 			defer all.Done()
 			bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 			defer cancel()
-			load, err := f.deps.Loads(bounded, service.Name, Directive{
+			load, err := f.deps.RequestLoad(bounded, service.Name, Directive{
 				Closed: f.closed[service.Name],
 				Ended:  ended,
-				Most:   f.most[service.Name],
+				Most:   f.maxInstances[service.Name],
 			})
 			if err != nil {
 				f.deps.Log.Info("failed to get service load", "service", service.Name, "error", err.Error())
@@ -342,11 +342,11 @@
 }
 
 // endedWorkers returns the workers of a service whose instances were taken recently.
-func (f *fleet) endedOf(service string) []string {
+func (f *instanceController) endedWorkers(service string) []string {
 	now := f.deps.Clock.Now()
 	var list []string
 	for worker, since := range f.ended[service] {
-		if now.Sub(since) > endedFor {
+		if now.Sub(since) > endedRetention {
 			delete(f.ended[service], worker)
 			continue
 		}
--- a/owner/fleet_chain_test.go
+++ b/owner/fleet_chain_test.go
@@ -15,7 +15,7 @@
 )
 
 // controllerEpoch returns the epoch of the instance controller.
-func holderEpoch(t *testing.T, rows *standin.Rows) int64 {
+func controllerEpoch(t *testing.T, rows *standin.Rows) int64 {
 	t.Helper()
 	return epochOf(t, rows, "/instances")
 }
@@ -43,11 +43,11 @@
 // TestOrderedInstancesStayBlockedAfterTwoTakeovers lets an instance controller that keeps
 // running lose the store while it sends orders. The next controller ends as soon as it has
 // claimed, and the third one must not move the instances that the first one ordered.
-func TestOrderedInstancesAreLeftAloneOverAQuickSecondTakeover(t *testing.T) {
+func TestOrderedInstancesStayBlockedAfterTwoTakeovers(t *testing.T) {
 	ends := map[string]func(second *entry){
 		"died": func(second *entry) { second.group.Stop() },
 		"released": func(second *entry) {
-			second.keeper.Release(context.Background(), patience)
+			second.keeper.Release(context.Background(), waitTimeout)
 			second.group.Stop()
 		},
 	}
@@ -55,21 +55,21 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			rows := standin.NewRows()
-			f := &fleetOfIdle{
+			f := &idleFleet{
 				moved: make(map[string]map[string]bool),
 			}
 			var away atomic.Bool
-			newEntryWith(t, "a", refusing(rows, &away), alive("a"), f.deps)
+			newEntryWith(t, "a", rejecting(rows, &away), alive("a"), f.deps)
 			until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
 			silent := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 				return owner.Pong{}, &outside.UncertainError{
 					Call: "ping",
 				}
 			}
-			first := holderEpoch(t, rows)
+			first := controllerEpoch(t, rows)
 			second := newEntryWith(t, "b", rows.Table(), silent, f.deps)
 			away.Store(true)
-			until(t, "the second controller has claimed", func() bool { return holderEpoch(t, rows) > first })
+			until(t, "the second controller has claimed", func() bool { return controllerEpoch(t, rows) > first })
 			end(second)
 			dead := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 				return owner.Pong{}, &outside.NotDoneError{
@@ -90,7 +90,7 @@
 // TestControllerIgnoresLoadOfReplacedOwner has the instance controller request the load from
 // an owner that has been replaced and does not know it yet. The load that this owner reports
 // is outdated.
-func TestHolderOrdersNothingByTheLoadOfAnOwnerThatWasSucceeded(t *testing.T) {
+func TestControllerIgnoresLoadOfReplacedOwner(t *testing.T) {
 	for name, behind := range map[string]int64{
 		"owner":     0,
 		"succeeded": 1,
@@ -98,8 +98,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			rows := standin.NewRows()
-			own(t, rows, 5)
-			f := &fleetOfIdle{
+			writeOwner(t, rows, 5)
+			f := &idleFleet{
 				moved: make(map[string]map[string]bool),
 				fence: func() int64 { return epochOf(t, rows, awake) - behind },
 			}
@@ -108,14 +108,14 @@
 				until(t, "the controller sends orders", func() bool { return f.count("a") >= 2 })
 				return
 			}
-			until(t, "the controller has requested loads", func() bool { return f.asked.Load() >= 20 })
+			until(t, "the controller has requested loads", func() bool { return f.loadRequests.Load() >= 20 })
 			is.Equal(f.count("a"), 0)
 		})
 	}
 }
 
 // writeOwner writes an owner row for the service that is not asleep.
-func own(t *testing.T, rows *standin.Rows, epoch int64) {
+func writeOwner(t *testing.T, rows *standin.Rows, epoch int64) {
 	t.Helper()
 	value, err := cbor.Marshal(owner.Ownership{
 		Epoch: epoch,
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	awake      = "s"
-	sleeping   = "z"
-	fleetSize  = 24
-	fleetOrder = 5 // orders per second, that is one per round
+	awake           = "s"
+	sleeping        = "z"
+	fleetSize       = 24
+	ordersPerSecond = 5 // orders per second, that is one per round
 )
 
 // idleBorn is the start time of the workers of the idle instances.
@@ -32,7 +32,7 @@
 
 // idleFleet is a service with many idle instances. Moves never take effect, as if each order
 // were still in progress.
-type fleetOfIdle struct {
+type idleFleet struct {
 	mu sync.Mutex
 
 	// moved holds the instances that each controller ordered to move, by controller.
@@ -40,11 +40,11 @@
 
 	// fence returns the fencing token of the owner that reports the loads; nil means none.
 	// loadRequests counts the requests for loads.
-	fence func() int64
-	asked atomic.Int64
+	fence        func() int64
+	loadRequests atomic.Int64
 }
 
-func (f *fleetOfIdle) list(context.Context) ([]outside.Instance, error) {
+func (f *idleFleet) list(context.Context) ([]outside.Instance, error) {
 	var list []outside.Instance
 	for i := 0; i < fleetSize; i++ {
 		list = append(list, outside.Instance{
@@ -61,7 +61,7 @@
 	return list, nil
 }
 
-func (f *fleetOfIdle) move(_ context.Context, instance, _, holder string, _ int64) error {
+func (f *idleFleet) move(_ context.Context, instance, _, holder string, _ int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.moved[holder] == nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (f *fleetOfIdle) count(holder string) int {
+func (f *idleFleet) count(holder string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.moved[holder])
@@ -79,8 +79,8 @@
 
 // loads reports that no worker runs anything and that all workers of the directive are
 // closed.
-func (f *fleetOfIdle) loads(_ context.Context, service string, told owner.Directive) (shard.Load, error) {
-	f.asked.Add(1)
+func (f *idleFleet) loads(_ context.Context, service string, told owner.Directive) (shard.Load, error) {
+	f.loadRequests.Add(1)
 	load := shard.Load{
 		Workers: make(map[string]shard.WorkerLoad),
 	}
@@ -106,13 +106,13 @@
 }
 
 // deps changes the dependencies of an entry so that it may become the instance controller.
-func (f *fleetOfIdle) deps(deps owner.Deps, name string) owner.Deps {
+func (f *idleFleet) deps(deps owner.Deps, name string) owner.Deps {
 	deps.Holder = name
 	deps.Instances = outside.Instances{
 		List: f.list,
 		Move: f.move,
 	}
-	deps.Loads = f.loads
+	deps.RequestLoad = f.loads
 	deps.Waves = owner.WaveSource{
 		Waves: func() []outside.Wave { return nil },
 	}
@@ -130,7 +130,7 @@
 	deps.Site = site.Settings{
 		Instances:     netip.MustParseAddrPort("127.0.0.1:1"),
 		HolderPause:   time.Hour,
-		InstanceCalls: fleetOrder,
+		InstanceCalls: ordersPerSecond,
 		MoveTime:      time.Second,
 		MaintainTime:  time.Second,
 	}
@@ -139,21 +139,21 @@
 
 // TestNextControllerSkipsOrderedInstances lets an instance controller that keeps running lose
 // the store while it sends orders. Later controllers must not move the same instances.
-func TestSuccessorLeavesOrderedInstancesAlone(t *testing.T) {
+func TestNextControllerSkipsOrderedInstances(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
-	f := &fleetOfIdle{
+	f := &idleFleet{
 		moved: make(map[string]map[string]bool),
 	}
 	var away, awayToo atomic.Bool
-	newEntryWith(t, "a", refusing(rows, &away), alive("a"), f.deps)
+	newEntryWith(t, "a", rejecting(rows, &away), alive("a"), f.deps)
 	until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
 	silent := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.UncertainError{
 			Call: "ping",
 		}
 	}
-	newEntryWith(t, "b", refusing(rows, &awayToo), silent, f.deps)
+	newEntryWith(t, "b", rejecting(rows, &awayToo), silent, f.deps)
 	away.Store(true)
 	until(t, "the second controller sends orders", func() bool { return f.count("b") >= 2 })
 	newEntryWith(t, "c", rows.Table(), silent, f.deps)
@@ -173,8 +173,8 @@
 // TestLongRoundsAllowMoreOrders guards against a limit on orders that assumes the shortest
 // interval between two rounds. With thousands of instances a round takes several times that,
 // mostly to list the instances, and pools shrank at a third of the possible rate.
-func TestOrdersFollowTheTimeThatARoundTakes(t *testing.T) {
-	f := &fleetOfIdle{
+func TestLongRoundsAllowMoreOrders(t *testing.T) {
+	f := &idleFleet{
 		moved: make(map[string]map[string]bool),
 	}
 	var mu sync.Mutex
@@ -203,15 +203,15 @@
 	until(t, "a long round sends several orders", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return most >= fleetOrder-1
+		return most >= ordersPerSecond-1
 	})
 }
 
 // TestOrdersAreLimitedByRowSize checks that the number of open orders is limited so that their
 // row does not become too large for the store.
-func TestOrdersFitIntoTheBeat(t *testing.T) {
+func TestOrdersAreLimitedByRowSize(t *testing.T) {
 	is := is.New(t)
-	f := &fleetOfIdle{
+	f := &idleFleet{
 		moved: make(map[string]map[string]bool),
 	}
 	newEntryWith(t, "a", standin.NewRows().Table(), alive("a"), func(deps owner.Deps, name string) owner.Deps {
--- a/owner/follow.go
+++ b/owner/follow.go
@@ -14,13 +14,13 @@
 	// minFollowBackoff is the pause after a failed read of changes. It doubles with each
 	// consecutive failure up to maxFollowBackoff, so that retries of some hundred entries do not
 	// keep the store above its rate limits.
-	followPause     = 150 * time.Millisecond
-	followPauseMost = time.Second
+	minFollowBackoff = 150 * time.Millisecond
+	maxFollowBackoff = time.Second
 
 	// ShortFeedWait is how long a read may wait for a change. It is short because a broken
 	// connection is noticed only after it, and a new configuration has to be in force within two
 	// seconds.
-	PromptWait = time.Second
+	ShortFeedWait = time.Second
 )
 
 // Follower reads a table and then every change to it.
@@ -31,8 +31,8 @@
 
 	// Wait is how long a read may wait for a change. Interval is the pause between two reads,
 	// for tables that many entries change at once.
-	Wait time.Duration
-	Rest time.Duration
+	Wait     time.Duration
+	Interval time.Duration
 
 	// Read reads the whole table and returns its version. Apply handles the rows that changed
 	// after it.
@@ -46,11 +46,11 @@
 	version := int64(-1)
 	failures := 0
 	for ctx.Err() == nil {
-		next, err := f.once(ctx, version)
+		next, err := f.readNext(ctx, version)
 		if err == nil {
 			version = next
 			failures = 0
-			clock.Sleep(ctx, f.Rest)
+			clock.Sleep(ctx, f.Interval)
 			continue
 		}
 		var gone *outside.HistoryGoneError
@@ -63,12 +63,12 @@
 		if ctx.Err() == nil {
 			f.Log.Warn("changes not read", "table", f.Name, "after", version, "failures", failures, "error", err.Error())
 		}
-		clock.Sleep(ctx, clock.Backoff(followPause, followPauseMost, failures))
+		clock.Sleep(ctx, clock.Backoff(minFollowBackoff, maxFollowBackoff, failures))
 	}
 	return nil
 }
 
-func (f Follower) once(ctx context.Context, version int64) (int64, error) {
+func (f Follower) readNext(ctx context.Context, version int64) (int64, error) {
 	if version < 0 {
 		return f.Read(ctx)
 	}
--- a/owner/follow_test.go
+++ b/owner/follow_test.go
@@ -16,7 +16,7 @@
 
 // TestFollowerBacksOff covers a store whose rate limits are exceeded. If several hundred
 // entries retried at once, the store would stay above its limits.
-func TestFollowerComesBackLessAndLessOften(t *testing.T) {
+func TestFollowerBacksOff(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var at []time.Time
@@ -25,7 +25,7 @@
 		Table: rows.Table(),
 		Name:  "t",
 		Log:   slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Wait:  owner.PromptWait,
+		Wait:  owner.ShortFeedWait,
 		Read: func(context.Context) (int64, error) {
 			at = append(at, time.Now())
 			if len(at) == 6 {
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -12,19 +12,19 @@
 
 // maxTakenRows bounds the taken instances that a heartbeat lists, newest first. That is several
 // times what the platform lets all entries order within endedRetention, and fills a third of a row.
-const takenMost = 256
+const maxTakenRows = 256
 
 // beatOf returns a heartbeat that carries a handover.
 func beatOf(h shard.Handover) Beat {
 	b := Beat{
-		Lapsed:      h.Idle,
-		BlindMillis: millisUp(h.Blind),
+		IdleWorkers:      h.Idle,
+		UnobservedMillis: ceilMillis(h.UnobservedFor),
 	}
 	for _, l := range h.Leased {
 		row := LeasedRow{
-			Worker:     l.Worker,
-			LeftMillis: millisUp(l.Left),
-			Unknown:    l.Unknown,
+			Worker:          l.Worker,
+			RemainingMillis: ceilMillis(l.Remaining),
+			AnyTask:         l.AnyTask,
 		}
 		for _, task := range l.Tasks {
 			row.Tasks = append(row.Tasks, task.String())
@@ -38,20 +38,20 @@
 // worker counts as one that may run any task.
 func handoverOf(b Beat, log *slog.Logger) shard.Handover {
 	h := shard.Handover{
-		Idle:  b.Lapsed,
-		Blind: time.Duration(b.BlindMillis) * time.Millisecond,
+		Idle:          b.IdleWorkers,
+		UnobservedFor: time.Duration(b.UnobservedMillis) * time.Millisecond,
 	}
 	for _, row := range b.Leased {
 		l := shard.Leased{
-			Worker:  row.Worker,
-			Left:    time.Duration(row.LeftMillis) * time.Millisecond,
-			Unknown: row.Unknown,
+			Worker:    row.Worker,
+			Remaining: time.Duration(row.RemainingMillis) * time.Millisecond,
+			AnyTask:   row.AnyTask,
 		}
 		for _, name := range row.Tasks {
 			task, err := job.ParseTaskID(name)
 			if err != nil {
 				log.Error("task ID in heartbeat row not parsed", "worker", row.Worker, "error", err)
-				l.Unknown = true
+				l.AnyTask = true
 				continue
 			}
 			l.Tasks = append(l.Tasks, task)
@@ -63,44 +63,44 @@
 
 // ceilMillis returns a duration in milliseconds, rounded up: a wait that is too short would let a
 // task run twice.
-func millisUp(d time.Duration) int64 {
+func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
 // takenRows returns the workers whose instances were taken within endedRetention, newest first.
-func (f *fleet) taken(now time.Time) []TakenRow {
+func (f *instanceController) takenRows(now time.Time) []TakenRow {
 	var list []TakenRow
 	for service, workers := range f.ended {
 		for worker, since := range workers {
-			remaining := endedFor - now.Sub(since)
+			remaining := endedRetention - now.Sub(since)
 			if remaining <= 0 {
 				continue
 			}
 			list = append(list, TakenRow{
-				Service:    service,
-				Worker:     worker,
-				LeftMillis: millisUp(remaining),
+				Service:         service,
+				Worker:          worker,
+				RemainingMillis: ceilMillis(remaining),
 			})
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
-		if list[a].LeftMillis != list[b].LeftMillis {
-			return list[a].LeftMillis > list[b].LeftMillis
+		if list[a].RemainingMillis != list[b].RemainingMillis {
+			return list[a].RemainingMillis > list[b].RemainingMillis
 		}
 		return list[a].Worker < list[b].Worker
 	})
-	return list[:min(len(list), takenMost)]
+	return list[:min(len(list), maxTakenRows)]
 }
 
 // restoreTaken restores the instances that the previous instance controller took recently. It may
 // not have told the owners of the services.
-func (f *fleet) inheritTaken(list []TakenRow, now time.Time) {
+func (f *instanceController) restoreTaken(list []TakenRow, now time.Time) {
 	for _, row := range list {
 		if f.ended[row.Service] == nil {
 			f.ended[row.Service] = make(map[string]time.Time)
 		}
-		remaining := time.Duration(row.LeftMillis) * time.Millisecond
-		f.ended[row.Service][row.Worker] = now.Add(remaining - endedFor)
+		remaining := time.Duration(row.RemainingMillis) * time.Millisecond
+		f.ended[row.Service][row.Worker] = now.Add(remaining - endedRetention)
 	}
 }
 
@@ -108,14 +108,14 @@
 // were taken recently, and those that it is about to order by the load of the previous owner. So
 // this owner need not wait for a directive. If the read fails, a directive follows anyway, and the
 // shard starts nothing on idle workers for a while.
-func (d *Duty) inheritTaken(ctx context.Context, now time.Time) {
+func (d *Duty) restoreTaken(ctx context.Context, now time.Time) {
 	if !d.deps.Site.Instances.IsValid() {
 		return
 	}
 	row, err := d.deps.Table.Row(ctx, beatKey(partInstances))
 	if err != nil {
 		d.deps.Log.Warn("heartbeat of the instance controller not read", "service", d.service, "epoch", d.tenure.epoch, "error", err.Error())
-		d.core.InheritGiven(nil, false, d.deps.Clock.Now())
+		d.core.RestoreReleased(nil, false, d.deps.Clock.Now())
 		return
 	}
 	if row == nil {
@@ -124,21 +124,21 @@
 	beat, err := decodeBeat(row.Value)
 	if err != nil {
 		d.deps.Log.Error("row left out", "table", row.Key.Table, "key", row.Key.Part, "error", err)
-		d.core.InheritGiven(nil, false, d.deps.Clock.Now())
+		d.core.RestoreReleased(nil, false, d.deps.Clock.Now())
 		return
 	}
 	var released []string
-	for _, given := range beat.Given {
+	for _, given := range beat.ReleasedWorkers {
 		if given.Service == d.service {
 			released = append(released, given.Worker)
 		}
 	}
-	d.core.InheritGiven(released, true, d.deps.Clock.Now())
+	d.core.RestoreReleased(released, true, d.deps.Clock.Now())
 	var ended []string
 	for _, taken := range beat.Taken {
 		if taken.Service == d.service {
 			ended = append(ended, taken.Worker)
 		}
 	}
-	d.core.End(ended, now)
+	d.core.RemoveTaken(ended, now)
 }
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -24,7 +24,7 @@
 	endlessLease = time.Hour
 
 	// pollWait is how long a fake worker delays its answer to a poll.
-	glanceWait = 20 * time.Millisecond
+	pollWait = 20 * time.Millisecond
 
 	tableListed = "listed"
 	tableUsed   = "used"
@@ -32,7 +32,7 @@
 
 // writeLongRunningJob writes the record of a job with a long-running task, as an entry does
 // that cannot reach an owner.
-func accept(rows *standin.Rows, id string) {
+func writeLongRunningJob(rows *standin.Rows, id string) {
 	one := record(id)
 	one.Spec.Steps[0].Lasting = true
 	rows.Write(owner.IntakeKey("s", id), one.Encode())
@@ -60,12 +60,12 @@
 
 // changeOwners has three entries, one after another, claim the service and start a queued
 // job. Each one releases the service to the next.
-func succeed(t *testing.T, rows *standin.Rows, h *hands, last *entry) {
+func changeOwners(t *testing.T, rows *standin.Rows, h *fakeWorkers, last *entry) {
 	t.Helper()
 	for i := range 3 {
-		last.keeper.Release(context.Background(), patience)
+		last.keeper.Release(context.Background(), waitTimeout)
 		waiting := fmt.Sprintf("waiting%d", i)
-		accept(rows, waiting)
+		writeLongRunningJob(rows, waiting)
 		name := fmt.Sprintf("successor%d", i)
 		last = newEntryWith(t, name, rows.Table(), alive(name), h.deps)
 		until(t, waiting+" is started", func() bool { return h.startsOf(waiting) == 1 })
@@ -75,34 +75,34 @@
 // TestReleaseHandsOverIdleWorkers takes the instance of an idle worker down just before its
 // service is released, so that no next owner can reach the worker. The handover has to tell
 // the next owners that the worker runs nothing.
-func TestReleaseHandsOverThatAWorkerRunsNothing(t *testing.T) {
+func TestReleaseHandsOverIdleWorkers(t *testing.T) {
 	rows := standin.NewRows()
-	h := newHands(rows, "w0", "w1")
+	h := newFakeWorkers(rows, "w0", "w1")
 	first := newEntryWith(t, "first", rows.Table(), alive("first"), h.deps)
 	until(t, "both workers are used", func() bool { return isUsed(t, rows, "w0", "w1") })
 	h.cutOff("w0")
-	succeed(t, rows, h, first)
+	changeOwners(t, rows, h, first)
 }
 
 // TestReleaseHandsOverTasksOfSilentWorker lets a worker become unreachable while it runs a
 // task. That task must not be started again while it may still run there, and no other task
 // may have to wait for the worker.
-func TestReleaseHandsOverWhatASilentWorkerMayRun(t *testing.T) {
+func TestReleaseHandsOverTasksOfSilentWorker(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
-	h := newHands(rows, "w0", "w1")
+	h := newFakeWorkers(rows, "w0", "w1")
 	first := newEntryWith(t, "first", rows.Table(), alive("first"), h.deps)
 	until(t, "both workers are used", func() bool { return isUsed(t, rows, "w0", "w1") })
-	accept(rows, "held")
+	writeLongRunningJob(rows, "held")
 	until(t, "the first task is started", func() bool { return h.startsOf("held") == 1 })
-	h.cutOff(h.holder("held"))
-	succeed(t, rows, h, first)
+	h.cutOff(h.workerOf("held"))
+	changeOwners(t, rows, h, first)
 	is.Equal(h.startsOf("held"), 1) // It may still run on the silent worker.
 }
 
 // TestBeatOfOlderVersionIsRead reads heartbeat rows of an older version, which handed over
 // nothing except the list of idle workers.
-func TestBeatWithoutNewFieldsMeansWhatItMeant(t *testing.T) {
+func TestBeatOfOlderVersionIsRead(t *testing.T) {
 	type oldBeat struct {
 		Epoch    int64    `cbor:"1,keyasint"`
 		Sequence int64    `cbor:"2,keyasint"`
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			rows := standin.NewRows()
-			h := newHands(rows, "w0", "w1")
+			h := newFakeWorkers(rows, "w0", "w1")
 			h.cutOff("w0")
 			write(t, rows, "owner", "owner", owner.Ownership{
 				Epoch:    1,
@@ -132,14 +132,14 @@
 				Part:  "s",
 				Name:  "w0",
 			}, []byte("127.0.0.1:1"))
-			accept(rows, "waiting")
+			writeLongRunningJob(rows, "waiting")
 			e := newEntryWith(t, "new", rows.Table(), alive("new"), h.deps)
 			until(t, "the entry owns the service", e.owns)
 			if lapsed != nil {
 				until(t, "the job is started", func() bool { return h.startsOf("waiting") == 1 })
 				return
 			}
-			until(t, "the other worker is polled", func() bool { return h.looksAt("w1") >= 10 })
+			until(t, "the other worker is polled", func() bool { return h.pollsOf("w1") >= 10 })
 			is.Equal(h.startsOf("waiting"), 0)
 		})
 	}
@@ -160,7 +160,7 @@
 }
 
 // endedJobs is a number of jobs whose ends do not fit into one transaction.
-const endedMost = 120
+const endedJobs = 120
 
 // TestReleaseWritesEveryEndFirst requests a release while the owner has more ends to write
 // than fit into one transaction. The worker cannot be reached afterwards, so that the next
@@ -176,9 +176,9 @@
 		}
 		return nil
 	}
-	h := newHands(rows, "w0")
+	h := newFakeWorkers(rows, "w0")
 	var ids []string
-	for i := range endedMost {
+	for i := range endedJobs {
 		id := fmt.Sprintf("job%d", i)
 		ids = append(ids, id)
 		rows.Write(owner.IntakeKey("s", id), record(id).Encode())
@@ -189,17 +189,17 @@
 	}
 	closed.Store(true)
 	h.finish("w0")
-	until(t, "the ends are listed twice", func() bool { return h.looksAt("w0") >= 2 })
+	until(t, "the ends are listed twice", func() bool { return h.pollsOf("w0") >= 2 })
 	released := make(chan struct{})
 	go func() {
-		first.keeper.Release(context.Background(), patience)
+		first.keeper.Release(context.Background(), waitTimeout)
 		close(released)
 	}()
-	time.Sleep(10 * glanceWait)
+	time.Sleep(10 * pollWait)
 	close(open)
 	<-released
 	h.cutOff("w0")
-	h.list(rows, "w1")
+	h.register(rows, "w1")
 	second := newEntryWith(t, "second", rows.Table(), alive("second"), h.deps)
 	until(t, "the second entry owns the service", second.owns)
 	duty, _ := second.keeper.Duty("s")
@@ -215,7 +215,7 @@
 // TestReleaseDoesNotReportListedWorkerAsUsed registers a worker while the last transaction
 // before the release is in progress. Nothing ever ran on that worker, so that the next owner
 // must not wait for it.
-func TestReleaseNamesNoWorkerAsUsed(t *testing.T) {
+func TestReleaseDoesNotReportListedWorkerAsUsed(t *testing.T) {
 	rows := standin.NewRows()
 	var closed atomic.Bool
 	var stopped atomic.Int64
@@ -227,24 +227,24 @@
 		}
 		return nil
 	}
-	h := newHands(rows, "w0")
+	h := newFakeWorkers(rows, "w0")
 	first := newEntryWith(t, "first", rows.Table(), alive("first"), h.deps)
 	until(t, "the worker is used", func() bool { return isUsed(t, rows, "w0") })
 	closed.Store(true)
 	until(t, "a transaction is under way", func() bool { return stopped.Load() == 1 })
-	h.list(rows, "w1")
-	until(t, "the new worker is polled", func() bool { return h.looksAt("w1") >= 2 })
+	h.register(rows, "w1")
+	until(t, "the new worker is polled", func() bool { return h.pollsOf("w1") >= 2 })
 	released := make(chan struct{})
 	go func() {
-		first.keeper.Release(context.Background(), patience)
+		first.keeper.Release(context.Background(), waitTimeout)
 		close(released)
 	}()
-	time.Sleep(10 * glanceWait)
+	time.Sleep(10 * pollWait)
 	closed.Store(false)
 	close(open)
 	<-released
 	h.cutOff("w1")
-	accept(rows, "waiting")
+	writeLongRunningJob(rows, "waiting")
 	newEntryWith(t, "second", rows.Table(), alive("second"), h.deps)
 	until(t, "the job is started", func() bool { return h.startsOf("waiting") == 1 })
 }
@@ -252,13 +252,13 @@
 // TestClaimOfStoppingEntryKeepsHandover stops an entry that has claimed the service before
 // the answer to its claim arrives. That entry never runs the service, and the next owner still
 // has to find the handover of the first one.
-func TestClaimOfAStoppingEntryLosesNothingHandedOver(t *testing.T) {
+func TestClaimOfStoppingEntryKeepsHandover(t *testing.T) {
 	rows := standin.NewRows()
-	h := newHands(rows, "w0", "w1")
+	h := newFakeWorkers(rows, "w0", "w1")
 	first := newEntryWith(t, "first", rows.Table(), alive("first"), h.deps)
 	until(t, "both workers are used", func() bool { return isUsed(t, rows, "w0", "w1") })
 	h.cutOff("w0")
-	first.keeper.Release(context.Background(), patience)
+	first.keeper.Release(context.Background(), waitTimeout)
 	answered := make(chan struct{})
 	table := rows.Table()
 	transact := table.Transact
@@ -272,10 +272,10 @@
 		_, known := second.keeper.Owner("s")
 		return known
 	})
-	second.keeper.Release(context.Background(), patience)
+	second.keeper.Release(context.Background(), waitTimeout)
 	close(answered)
 	second.group.Stop()
-	accept(rows, "waiting")
+	writeLongRunningJob(rows, "waiting")
 	dead := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.NotDoneError{
 			Call: "ping",
@@ -287,16 +287,16 @@
 
 // recordingFleet is an idleFleet that records which workers each instance controller reports
 // as ended.
-type told struct {
-	*fleetOfIdle
+type recordingFleet struct {
+	*idleFleet
 
 	mu    sync.Mutex
 	ended map[string]map[string]bool
 }
 
-func newTold() *told {
-	return &told{
-		fleetOfIdle: &fleetOfIdle{
+func newRecordingFleet() *recordingFleet {
+	return &recordingFleet{
+		idleFleet: &idleFleet{
 			moved: make(map[string]map[string]bool),
 		},
 		ended: make(map[string]map[string]bool),
@@ -304,10 +304,10 @@
 }
 
 // list returns the instances; those with an order have the state InstanceMoving.
-func (f *told) list(ctx context.Context) ([]outside.Instance, error) {
-	list, err := f.fleetOfIdle.list(ctx)
-	f.fleetOfIdle.mu.Lock()
-	defer f.fleetOfIdle.mu.Unlock()
+func (f *recordingFleet) list(ctx context.Context) ([]outside.Instance, error) {
+	list, err := f.idleFleet.list(ctx)
+	f.idleFleet.mu.Lock()
+	defer f.idleFleet.mu.Unlock()
 	for i := range list {
 		for _, moved := range f.moved {
 			if moved[list[i].ID] {
@@ -319,10 +319,10 @@
 	return list, err
 }
 
-func (f *told) deps(deps owner.Deps, name string) owner.Deps {
-	deps = f.fleetOfIdle.deps(deps, name)
+func (f *recordingFleet) deps(deps owner.Deps, name string) owner.Deps {
+	deps = f.idleFleet.deps(deps, name)
 	deps.Instances.List = f.list
-	deps.Loads = func(ctx context.Context, service string, directive owner.Directive) (shard.Load, error) {
+	deps.RequestLoad = func(ctx context.Context, service string, directive owner.Directive) (shard.Load, error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.ended[name] == nil {
@@ -338,9 +338,9 @@
 
 // hasReportedEnded reports whether the controller called name has reported as ended the
 // workers of all instances that the controller called moved has ordered to move.
-func (f *told) hasTold(name, moved string) bool {
-	f.fleetOfIdle.mu.Lock()
-	defer f.fleetOfIdle.mu.Unlock()
+func (f *recordingFleet) hasReportedEnded(name, moved string) bool {
+	f.idleFleet.mu.Lock()
+	defer f.idleFleet.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for instance := range f.moved[moved] {
@@ -357,26 +357,26 @@
 
 // TestNextControllerReportsInstancesTakenBefore lets an instance controller hand over before
 // it has told the owners of services about its last orders.
-func TestSuccessorTellsOfInstancesThatTheOneBeforeTook(t *testing.T) {
+func TestNextControllerReportsInstancesTakenBefore(t *testing.T) {
 	rows := standin.NewRows()
-	f := newTold()
+	f := newRecordingFleet()
 	first := newEntryWith(t, "a", rows.Table(), alive("a"), f.deps)
 	until(t, "the first controller sends orders", func() bool { return f.count("a") >= 2 })
-	first.keeper.Release(context.Background(), patience)
+	first.keeper.Release(context.Background(), waitTimeout)
 	newEntryWith(t, "b", rows.Table(), alive("b"), f.deps)
-	until(t, "the second controller reports them", func() bool { return f.hasTold("b", "a") })
+	until(t, "the second controller reports them", func() bool { return f.hasReportedEnded("b", "a") })
 }
 
 // TestNewOwnerRestoresTakenInstances stops an entry that is both the owner of a service and
 // the instance controller after it has taken the instance of a worker.
-func TestNewOwnerReadsWhichInstancesWereTaken(t *testing.T) {
+func TestNewOwnerRestoresTakenInstances(t *testing.T) {
 	rows := standin.NewRows()
-	f := newTold()
+	f := newRecordingFleet()
 	var ids []string
 	for i := range fleetSize {
 		ids = append(ids, fmt.Sprintf("w%02d", i))
 	}
-	h := newHands(rows, ids...)
+	h := newFakeWorkers(rows, ids...)
 	var once sync.Once
 	both := func(deps owner.Deps, name string) owner.Deps {
 		deps = f.deps(h.deps(deps, name), name)
@@ -392,7 +392,7 @@
 	until(t, "all workers are used", func() bool { return isUsed(t, rows, ids...) })
 	until(t, "the entry takes instances, and writes more than once", func() bool { return f.count("a") >= 3 })
 	first.group.Stop()
-	accept(rows, "waiting")
+	writeLongRunningJob(rows, "waiting")
 	dead := func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		return owner.Pong{}, &outside.NotDoneError{
 			Call: "ping",
--- a/owner/intake.go
+++ b/owner/intake.go
@@ -24,11 +24,11 @@
 
 // requestLookup passes a lookup to the goroutine that reads the jobs' rows. It drops the lookup if
 // another one is waiting.
-func (d *Duty) askLookup(lookup shard.Lookup) {
+func (d *Duty) requestLookup(lookup shard.Lookup) {
 	select {
 	case d.lookups <- lookup:
 	default:
-		d.answerLookup(lookup, &LookupDroppedError{
+		d.finishLookup(lookup, &LookupDroppedError{
 			Jobs: len(lookup.Jobs),
 		})
 	}
@@ -36,13 +36,13 @@
 
 // finishLookup tells the shard that a read that began after the lookup was ordered has been
 // applied, or why it failed.
-func (d *Duty) answerLookup(lookup shard.Lookup, err error) {
+func (d *Duty) finishLookup(lookup shard.Lookup, err error) {
 	d.pushLogged(func(d *Duty, now time.Time) { d.core.LookedUp(lookup, err, now) })
 }
 
 // pollIntake reads jobs and cancellations that an entry wrote without calling the owner. It reads
 // every intakeInterval, and at once if the shard orders a lookup of unknown jobs.
-func (d *Duty) watchIntake(ctx context.Context, since int64) error {
+func (d *Duty) pollIntake(ctx context.Context, since int64) error {
 	for {
 		var requested *shard.Lookup
 		select {
@@ -50,7 +50,7 @@
 			return nil
 		case lookup := <-d.lookups:
 			requested = &lookup
-		case <-time.After(intakePause):
+		case <-time.After(intakeInterval):
 		}
 		next, err := d.readIntake(ctx, since)
 		if err == nil {
@@ -59,7 +59,7 @@
 			d.deps.Log.Warn("changes of jobs not read", "service", d.service, "error", err.Error())
 		}
 		if requested != nil {
-			d.answerLookup(*requested, err)
+			d.finishLookup(*requested, err)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		return since, err
 	}
 	for _, row := range change.Rows {
-		if err := d.takeRow(row); err != nil {
+		if err := d.applyIntakeRow(row); err != nil {
 			return since, err
 		}
 	}
@@ -90,14 +90,14 @@
 
 // applyIntakeRow handles one row of the intake table. It returns an error if the event could not
 // be queued and the row has to be read again. A row that can't be decoded is skipped for good.
-func (d *Duty) takeRow(row outside.Row) error {
+func (d *Duty) applyIntakeRow(row outside.Row) error {
 	if row.Gone {
 		return nil
 	}
 	if id, found := strings.CutPrefix(row.Key.Name, prefixCancel); found {
 		return d.push(func(d *Duty, now time.Time) { d.core.CancelByRow(id, now) })
 	}
-	if _, known := d.shown.Load(row.Key.Name); known {
+	if _, known := d.published.Load(row.Key.Name); known {
 		return nil
 	}
 	record, err := shard.DecodeRecord(row.Value)
--- a/owner/intake_test.go
+++ b/owner/intake_test.go
@@ -18,8 +18,8 @@
 
 // writeStartedJob writes the record of a job as an entry does, and adds a run of the job's
 // task to a worker as if a previous owner had started it.
-func startedElsewhere(rows *standin.Rows, h *hands, worker, id string) {
-	accept(rows, id)
+func writeStartedJob(rows *standin.Rows, h *fakeWorkers, worker, id string) {
+	writeLongRunningJob(rows, id)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runs[worker][job.TaskID{
@@ -30,7 +30,7 @@
 // TestOwnerLooksUpJobsOfUnknownRuns lists runs of jobs that the owner does not know. A run
 // whose job has a stored record goes on, also if the first read fails. A run without a record
 // is stopped.
-func TestOwnerLooksUpTheJobOfARunThatItFinds(t *testing.T) {
+func TestOwnerLooksUpJobsOfUnknownRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		rows := standin.NewRows()
@@ -43,22 +43,22 @@
 			}
 			return feed(ctx, name, after, wait)
 		}
-		h := newHands(rows, "w0", "w1")
+		h := newFakeWorkers(rows, "w0", "w1")
 		e := newEntryWith(t, "a", table, alive("a"), h.deps)
 		until(t, "both workers are used", func() bool { return isUsed(t, rows, "w0", "w1") })
 
-		startedElsewhere(rows, h, "w0", "a")
+		writeStartedJob(rows, h, "w0", "a")
 		untilRuns(t, e, "a")
 
 		away.Store(true)
-		startedElsewhere(rows, h, "w1", "b")
+		writeStartedJob(rows, h, "w1", "b")
 		time.Sleep(3 * time.Second)
 		is.Equal(h.stopsOf("b"), 0) // No read has confirmed yet that the record is missing.
 		away.Store(false)
 		untilRuns(t, e, "b")
 
 		rows.Forget()
-		startedElsewhere(rows, h, "w1", "c")
+		writeStartedJob(rows, h, "w1", "c")
 		untilRuns(t, e, "c")
 
 		h.mu.Lock()
--- a/owner/keeper.go
+++ b/owner/keeper.go
@@ -16,30 +16,30 @@
 
 const (
 	// keeperInterval is the time between two rounds of the keeper.
-	keeperPause = 100 * time.Millisecond
+	keeperInterval = 100 * time.Millisecond
 
 	// pingInterval is the time between two pings of the first successor to an owner. Successors
 	// that rank after it ping less often.
-	pingPause = 250 * time.Millisecond
+	pingInterval = 250 * time.Millisecond
 
 	// pingTimeout bounds one ping. The round trip between availability zones is about 1 ms.
 	pingTimeout = 300 * time.Millisecond
 
 	// minFailedPings is how many consecutive pings must fail before a successor may take an
 	// owner that has stopped writing for lost.
-	silentPings = 3
+	minFailedPings = 3
 
 	// suspectWriteAge is how old the last write that an owner reports must be for its
 	// successors to watch its heartbeat: it has missed one.
-	suspectWrites = beatPause + 100*time.Millisecond
+	suspectWriteAge = beatInterval + 100*time.Millisecond
 
 	// silenceTimeout is how long a successor must see an unchanged heartbeat before it takes
 	// the owner for lost.
-	silentWrites = beatPause + beatPause/2
+	silenceTimeout = beatInterval + beatInterval/2
 
 	// staleWriteAge is how old the last write that an owner reports must be for a successor that
 	// reaches the store to take over.
-	staleWrites = 1200 * time.Millisecond
+	staleWriteAge = 1200 * time.Millisecond
 
 	// slowFactor multiplies suspectWriteAge, silenceTimeout and staleWriteAge while the store is
 	// slow. Twice staleWriteAge stays below ownerTimeout.
@@ -48,18 +48,18 @@
 	// rejectionTimeout is how long the store must have rejected every write of an owner for a
 	// successor that can read the owner's rows to take over at once. It covers several attempts
 	// of the owner.
-	turnedAway = 300 * time.Millisecond
+	rejectionTimeout = 300 * time.Millisecond
 
 	// rankDelay keeps successors from racing: each waits this much longer than the one ranked
 	// before it.
-	rankPause = 200 * time.Millisecond
+	rankDelay = 200 * time.Millisecond
 
 	// ownedDelay is added for each part that the entry already owns or is claiming, so that
 	// services spread over the entries.
-	ownedPause = 300 * time.Millisecond
+	ownedDelay = 300 * time.Millisecond
 
 	// claimRetryDelay is the shortest time between two attempts to claim a part.
-	takePause = 500 * time.Millisecond
+	claimRetryDelay = 500 * time.Millisecond
 )
 
 // Pong is an owner's answer to a ping of a successor.
@@ -111,22 +111,22 @@
 	mu sync.Mutex
 
 	// held holds the parts that this entry owns: services, and the instance controller.
-	held map[string]holding
+	held map[string]heldPart
 
 	// active holds the parts that a goroutine of this entry is claiming or running, until that
 	// goroutine ends. It keeps the keeper from claiming a part twice: the row that names this
 	// entry as the owner may be seen before the answer to the write of that row.
-	seizing map[string]bool
+	active map[string]bool
 
 	// owners holds the newest known owner row of each part.
-	owners map[string]known
+	owners map[string]ownerRow
 
 	// watches holds what the keeper has observed of the owner of each part.
-	watches map[string]*watch
+	watches map[string]*ownerWatch
 
 	// ownersRead says that the rows of all owners have been read once. Before that no part is
 	// known to be free.
-	read bool
+	ownersRead bool
 
 	// stopping says that no part is to be claimed any more. released says that this entry hands
 	// over what it owns, so that a claim still in flight is not run.
@@ -134,11 +134,11 @@
 	released bool
 
 	// notify receives a value when a part is released for this entry. Its capacity is 1.
-	named chan struct{}
+	notify chan struct{}
 }
 
 // heldPart is a part that this entry owns.
-type holding struct {
+type heldPart struct {
 	// duty is the scheduler of a service; nil for the instance controller.
 	duty    *Duty
 	tenure  *tenure
@@ -147,7 +147,7 @@
 }
 
 // ownerRow is an ownership with the version of its row.
-type known struct {
+type ownerRow struct {
 	Ownership
 	version int64
 }
@@ -164,19 +164,19 @@
 }
 
 // ownerWatch is what a successor has observed of one owner.
-type watch struct {
+type ownerWatch struct {
 	epoch int64
 
 	// freeSince is when the part was first seen without an owner.
 	freeSince time.Time
 
 	// pingedAt is when the last ping began. failures counts consecutive failed pings.
-	pinged   time.Time
+	pingedAt time.Time
 	failures int
 	pinging  bool
 
 	// still records since when the owner's heartbeat is unchanged.
-	still stillness
+	still unchangedBeat
 
 	// dead says that the owner's process has certainly ended. lost says that the owner has
 	// stopped writing, although its process may still run.
@@ -194,17 +194,17 @@
 		self:    self,
 		ping:    ping,
 		members: members,
-		held:    make(map[string]holding),
-		seizing: make(map[string]bool),
-		owners:  make(map[string]known),
-		watches: make(map[string]*watch),
-		named:   make(chan struct{}, 1),
+		held:    make(map[string]heldPart),
+		active:  make(map[string]bool),
+		owners:  make(map[string]ownerRow),
+		watches: make(map[string]*ownerWatch),
+		notify:  make(chan struct{}, 1),
 	}
 }
 
 // Run watches the owners of all parts until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(keeperPause)
+	ticker := time.NewTicker(keeperInterval)
 	defer ticker.Stop()
 	for {
 		k.round(ctx)
@@ -212,7 +212,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-		case <-k.named:
+		case <-k.notify:
 		}
 	}
 }
@@ -223,9 +223,9 @@
 		Table: k.deps.Table,
 		Name:  TableOwners,
 		Log:   k.deps.Log,
-		Wait:  PromptWait,
+		Wait:  ShortFeedWait,
 		Read:  k.readOwners,
-		Apply: k.take,
+		Apply: k.applyOwners,
 	}.Run(ctx)
 }
 
@@ -241,16 +241,16 @@
 		if first < 0 {
 			first = page.Version
 		}
-		k.take(page.Rows)
+		k.applyOwners(page.Rows)
 	}
 	k.mu.Lock()
-	k.read = true
+	k.ownersRead = true
 	k.mu.Unlock()
 	return max(0, first), nil
 }
 
 // applyOwners records owner rows that are newer than the known ones.
-func (k *Keeper) take(rows []outside.Row) {
+func (k *Keeper) applyOwners(rows []outside.Row) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, row := range rows {
@@ -262,7 +262,7 @@
 		if row.Version <= k.owners[row.Key.Part].version {
 			continue
 		}
-		k.owners[row.Key.Part] = known{
+		k.owners[row.Key.Part] = ownerRow{
 			Ownership: o,
 			version:   row.Version,
 		}
@@ -288,29 +288,29 @@
 func (k *Keeper) round(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stopping || !k.read {
+	if k.stopping || !k.ownersRead {
 		return
 	}
 	now := k.deps.Clock.Now()
 	for _, service := range k.services() {
-		if !k.seizing[service] {
-			k.consider(ctx, service, now)
+		if !k.active[service] {
+			k.maybeClaim(ctx, service, now)
 		}
 	}
 }
 
 // claimAndRun claims a part for this entry and runs its duty until that ends. It returns early if
 // the claim fails, for example because another entry has claimed the part.
-func (k *Keeper) seize(ctx context.Context, service string, o known, ended bool, beatVersion int64) {
-	defer k.unseize(service)
+func (k *Keeper) claimAndRun(ctx context.Context, service string, o ownerRow, ended bool, beatVersion int64) {
+	defer k.clearActive(service)
 	now := k.deps.Clock.Now()
-	unobservedFor := k.blindFor(service, o, ended)
+	unobservedFor := k.unobservedFor(service, o, ended)
 	won, err := k.claim(ctx, service, o, beatVersion, unobservedFor)
 	var recovered *RecoveredError
 	k.mu.Lock()
 	w := k.watches[service]
 	if w != nil {
-		w.notBefore = now.Add(takePause)
+		w.notBefore = now.Add(claimRetryDelay)
 	}
 	if w != nil && errors.As(err, &recovered) {
 		w.lost = false
@@ -322,7 +322,7 @@
 		}
 		return
 	}
-	h := k.hold(service, won, now, unobservedFor)
+	h := k.newHeldPart(service, won, now, unobservedFor)
 	k.held[service] = h
 	k.mu.Unlock()
 	k.deps.Log.Info("service taken", "service", service, "epoch", won.epoch, "from", o.Owner, "ended", ended)
@@ -335,24 +335,24 @@
 	}
 }
 
-func (k *Keeper) unseize(service string) {
+func (k *Keeper) clearActive(service string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.seizing, service)
+	delete(k.active, service)
 }
 
 // newHeldPart builds the duty for a part that was claimed.
-func (k *Keeper) hold(part string, won claim, now time.Time, unobservedFor time.Duration) holding {
+func (k *Keeper) newHeldPart(part string, won claim, now time.Time, unobservedFor time.Duration) heldPart {
 	if part == partInstances {
-		f := newFleet(k.deps, won, now, unobservedFor)
-		return holding{
+		f := newInstanceController(k.deps, won, now, unobservedFor)
+		return heldPart{
 			tenure:  f.tenure,
 			run:     f.run,
 			release: f.release,
 		}
 	}
 	d := newDuty(k.deps, part, won, now, unobservedFor)
-	return holding{
+	return heldPart{
 		duty:    d,
 		tenure:  d.tenure,
 		run:     d.run,
--- a/owner/keeper_test.go
+++ b/owner/keeper_test.go
@@ -26,7 +26,7 @@
 
 // waitTimeout is the longest time for which a test waits for a condition. On an idle instance
 // the conditions come true in well under a second.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // lines counts log lines by their message.
 type lines struct {
@@ -115,7 +115,7 @@
 			Options: shard.Options{
 				Lease: time.Second,
 			},
-			Listed: func(context.Context) ([]owner.Member, error) { return nil, nil },
+			ListMembers: func(context.Context) ([]owner.Member, error) { return nil, nil },
 		}, name), owner.Self{
 			Member: owner.Member{
 				Incarnation: name,
@@ -139,7 +139,7 @@
 }
 
 // answerPing returns a ping function that answers with the entry's own state.
-func (e *entry) ownWord(name string) func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
+func (e *entry) answerPing(name string) func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 	return func(context.Context, netip.AddrPort, string) (owner.Pong, error) {
 		age, owns := e.keeper.WriteAge("s")
 		return owner.Pong{
@@ -152,7 +152,7 @@
 }
 
 // rejecting returns a table over the rows that rejects all transactions while away is set.
-func refusing(rows *standin.Rows, away *atomic.Bool) outside.Table {
+func rejecting(rows *standin.Rows, away *atomic.Bool) outside.Table {
 	table := rows.Table()
 	write := table.Transact
 	table.Transact = func(ctx context.Context, tx outside.Transaction) (outside.Receipt, error) {
@@ -169,7 +169,7 @@
 
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if condition() {
 			return
 		}
@@ -243,7 +243,7 @@
 
 // TestOutageForAllKeepsOwner makes the store unavailable to an owner and to its next owner.
 // The owner keeps the service and writes again after the outage.
-func TestOutageThatMeetsBothCostsNoOwner(t *testing.T) {
+func TestOutageForAllKeepsOwner(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var away atomic.Bool
@@ -258,7 +258,7 @@
 	}
 	first := newEntry(t, "a", rows, alive("a"))
 	until(t, "the first entry owns the service", first.owns)
-	second := newEntry(t, "b", rows, first.ownWord("a"))
+	second := newEntry(t, "b", rows, first.answerPing("a"))
 	for i := 0; i < 2; i++ {
 		time.Sleep(time.Second)
 		away.Store(true)
@@ -272,13 +272,13 @@
 
 // TestOwnerWithoutWritesIsReplaced has an owner that answers pings, but reports in its answers
 // that the store rejects its writes.
-func TestOwnerThatWritesNothingIsSucceeded(t *testing.T) {
+func TestOwnerWithoutWritesIsReplaced(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var away atomic.Bool
-	first := newEntryOn(t, "a", refusing(rows, &away), alive("a"))
+	first := newEntryOn(t, "a", rejecting(rows, &away), alive("a"))
 	until(t, "the first entry owns the service", first.owns)
-	second := newEntry(t, "b", rows, first.ownWord("a"))
+	second := newEntry(t, "b", rows, first.answerPing("a"))
 	time.Sleep(time.Second)
 	is.True(!second.owns())
 	away.Store(true)
@@ -288,14 +288,14 @@
 // TestRejectedOwnerIsReplacedSoon covers an owner whose writes the store rejects while it
 // accepts those of all others. The owner detects this at once. The next owner used to wait until
 // there had been no write for two heartbeats, and meanwhile the service accepted no jobs.
-func TestOwnerThatTheStoreTurnsAwayIsSucceededSoon(t *testing.T) {
+func TestRejectedOwnerIsReplacedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		rows := standin.NewRows()
 		var away atomic.Bool
-		first := newEntryOn(t, "a", refusing(rows, &away), alive("a"))
+		first := newEntryOn(t, "a", rejecting(rows, &away), alive("a"))
 		until(t, "the first entry owns the service", first.owns)
-		second := newEntry(t, "b", rows, first.ownWord("a"))
+		second := newEntry(t, "b", rows, first.answerPing("a"))
 		time.Sleep(time.Second)
 		is.True(!second.owns())
 		away.Store(true)
@@ -306,7 +306,7 @@
 
 // TestKeeperForgetsOldPingFailures lets an entry lose its service to an owner whose pings
 // failed earlier, but succeed now. The earlier failures must not count against that owner.
-func TestSuccessorForgetsOldSuspicion(t *testing.T) {
+func TestKeeperForgetsOldPingFailures(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	first := newEntry(t, "a", rows, alive("a"))
@@ -343,17 +343,17 @@
 	first := newEntry(t, "a", rows, alive("a"))
 	until(t, "the first entry owns the service", first.owns)
 	second := newEntry(t, "b", rows, alive("a"))
-	first.keeper.Release(context.Background(), patience)
+	first.keeper.Release(context.Background(), waitTimeout)
 	until(t, "the second entry owns the service", second.owns)
 }
 
 // TestUnobservedTimeIsShort limits how long a next owner waits for unobserved runs. The
 // platform requires that tasks run about 7 s after a disruption. A frozen owner is replaced
 // about 2 s after its freeze began, and a freeze lasts 4 s or more.
-func TestServiceStandsStillForSecondsOnly(t *testing.T) {
+func TestUnobservedTimeIsShort(t *testing.T) {
 	is := is.New(t)
 	const lease = 4 * time.Second
-	is.True(owner.BlindFor(lease, true) > lease)
-	is.True(owner.BlindFor(lease, false) > owner.BlindFor(lease, true))
-	is.True(owner.BlindFor(lease, false) < 8*time.Second)
+	is.True(owner.UnobservedFor(lease, true) > lease)
+	is.True(owner.UnobservedFor(lease, false) > owner.UnobservedFor(lease, true))
+	is.True(owner.UnobservedFor(lease, false) < 8*time.Second)
 }
--- a/owner/orders.go
+++ b/owner/orders.go
@@ -15,18 +15,18 @@
 
 // announce writes which instances are about to be ordered, so that a successor leaves only these
 // alone for a while.
-func (f *fleet) announce(ctx context.Context, instances []string) error {
+func (f *instanceController) announce(ctx context.Context, instances []string) error {
 	now := f.deps.Clock.Now()
 	for _, instance := range instances {
-		f.recent[instance] = now
+		f.lastOrders[instance] = now
 	}
-	return f.confirm(ctx, nil, false)
+	return f.confirmOwnership(ctx, nil, false)
 }
 
 // recentOrders returns the instances that were recently ordered, for the successor.
-func (f *fleet) recentOrders() []string {
-	list := make([]string, 0, len(f.recent))
-	for instance := range f.recent {
+func (f *instanceController) recentOrders() []string {
+	list := make([]string, 0, len(f.lastOrders))
+	for instance := range f.lastOrders {
 		list = append(list, instance)
 	}
 	sort.Strings(list)
@@ -42,19 +42,19 @@
 }
 
 // sendOrders sends the orders of a plan concurrently and handles their results.
-func (f *fleet) order(ctx context.Context, plan pool.Plan) error {
+func (f *instanceController) sendOrders(ctx context.Context, plan pool.Plan) error {
 	orders := ordersOf(plan)
-	orders = orders[:min(len(orders), f.ordersMost())]
+	orders = orders[:min(len(orders), f.maxOrders())]
 	if len(orders) == 0 {
 		return nil
 	}
 	f.orderedAt = f.deps.Clock.Now()
 	announced := make([]string, 0, len(orders))
-	f.given = nil
+	f.releasedWorkers = nil
 	for _, o := range orders {
 		announced = append(announced, o.instance)
 		if o.worker.Worker != "" {
-			f.given = append(f.given, GivenRow{
+			f.releasedWorkers = append(f.releasedWorkers, ReleasedRow{
 				Service: o.from,
 				Worker:  o.worker.Worker,
 			})
@@ -63,21 +63,21 @@
 	if err := f.announce(ctx, announced); err != nil {
 		return err
 	}
-	orders = f.withoutSucceeded(ctx, orders)
+	orders = f.dropOutdated(ctx, orders)
 	var all sync.WaitGroup
 	for i := range orders {
 		o := &orders[i]
 		all.Add(1)
 		f.deps.Group.Go("instance order", func(context.Context) error {
 			defer all.Done()
-			o.err = f.orderOne(ctx, o.instance, o.to, o.wave)
+			o.err = f.sendOrder(ctx, o.instance, o.to, o.wave)
 			return nil
 		})
 	}
 	all.Wait()
-	f.given = nil
+	f.releasedWorkers = nil
 	for _, o := range orders {
-		f.settle(o)
+		f.handleResult(o)
 	}
 	return nil
 }
@@ -85,15 +85,15 @@
 // maxOrders returns how many orders may be sent now: as many as the platform accepts in the time
 // since the last orders (one second at most), and no more than the heartbeat row can list. That
 // time is measured because a round takes longer in a larger fleet.
-func (f *fleet) ordersMost() int {
+func (f *instanceController) maxOrders() int {
 	now := f.deps.Clock.Now()
-	maps.DeleteFunc(f.recent, func(_ string, at time.Time) bool { return now.Sub(at) > f.deps.Site.HolderPause+orderFresh })
-	since := min(orderSpan, max(fleetPause, now.Sub(f.orderedAt)))
+	maps.DeleteFunc(f.lastOrders, func(_ string, at time.Time) bool { return now.Sub(at) > f.deps.Site.HolderPause+maxOrderWriteAge })
+	since := min(orderRateWindow, max(controlInterval, now.Sub(f.orderedAt)))
 	most := max(1, int(f.deps.Site.InstanceCalls*since.Seconds()))
 	if f.deps.Site.RowBytes <= 0 {
 		return most
 	}
-	return max(0, min(most, int(orderedShare*float64(f.deps.Site.RowBytes))/orderedBytes-len(f.recent)))
+	return max(0, min(most, int(maxOrderedShare*float64(f.deps.Site.RowBytes))/orderedEntryBytes-len(f.lastOrders)))
 }
 
 // ordersOf returns the orders of a plan.
@@ -121,11 +121,11 @@
 // dropOutdated drops orders for workers whose service has a new owner: only the previous owner has
 // reported that nothing runs there. It checks after the orders were announced. A successor that
 // claims later reads the announcement and starts nothing on these workers.
-func (f *fleet) withoutSucceeded(ctx context.Context, orders []instanceOrder) []instanceOrder {
+func (f *instanceController) dropOutdated(ctx context.Context, orders []instanceOrder) []instanceOrder {
 	owned := make(map[string]bool)
 	for _, o := range orders {
 		if _, asked := owned[o.from]; o.worker.Worker != "" && !asked {
-			owned[o.from] = f.isOwnedAsTold(ctx, o.from)
+			owned[o.from] = f.isLoadCurrent(ctx, o.from)
 		}
 	}
 	return slices.DeleteFunc(orders, func(o instanceOrder) bool { return o.worker.Worker != "" && !owned[o.from] })
@@ -133,7 +133,7 @@
 
 // isLoadCurrent reports whether the owner that reported the last load of a service still owns it.
 // Owners of earlier versions send no fencing token with the load; they count as current.
-func (f *fleet) isOwnedAsTold(ctx context.Context, service string) bool {
+func (f *instanceController) isLoadCurrent(ctx context.Context, service string) bool {
 	fence := f.fences[service]
 	if fence == 0 {
 		return true
@@ -158,8 +158,8 @@
 }
 
 // sendOrder sends one order. It fails if the last write is older than maxOrderWriteAge.
-func (f *fleet) orderOne(ctx context.Context, instance, to string, wave int64) error {
-	if age := f.tenure.age(); age > orderFresh {
+func (f *instanceController) sendOrder(ctx context.Context, instance, to string, wave int64) error {
+	if age := f.tenure.age(); age > maxOrderWriteAge {
 		return &LostError{
 			Part:   partInstances,
 			Reason: "the last write is " + age.String() + " old",
@@ -172,7 +172,7 @@
 }
 
 // handleResult handles the result of an order.
-func (f *fleet) settle(o instanceOrder) {
+func (f *instanceController) handleResult(o instanceOrder) {
 	now := f.deps.Clock.Now()
 	var refused *outside.InstanceRefusedError
 	var notDone *outside.NotDoneError
@@ -180,13 +180,13 @@
 	switch {
 	case o.err == nil:
 		f.deps.Log.Info("instance ordered", "instance", o.instance, "worker", o.worker.String(), "from", o.from, "to", o.to, "wave", o.wave,
-			"epoch", f.tenure.epoch, "load_age_ms", now.Sub(f.asked).Milliseconds())
+			"epoch", f.tenure.epoch, "load_age_ms", now.Sub(f.loadsRequestedAt).Milliseconds())
 		f.sizer.Ordered(o.instance, o.to, o.worker, o.wave, now)
 		if f.ended[o.from] == nil {
 			f.ended[o.from] = make(map[string]time.Time)
 		}
 		f.ended[o.from][o.worker.String()] = now
-		f.done(o.wave, o.instance)
+		f.markDone(o.wave, o.instance)
 	case errors.As(o.err, &refused):
 		f.sizer.Refused(o.instance, o.to, false, now)
 	case outside.IsNotDone(o.err):
@@ -195,10 +195,10 @@
 	default:
 		// The order may have been carried out, or may be later. The instance counts as one whose
 		// order is in progress.
-		f.sizer.Unsure(o.instance, o.from, o.to, o.worker, o.wave, now)
+		f.sizer.Uncertain(o.instance, o.from, o.to, o.worker, o.wave, now)
 	}
 	if o.err != nil {
 		f.deps.Log.Warn("instance order without success", "instance", o.instance, "worker", o.worker.String(), "from", o.from, "to", o.to, "wave", o.wave,
-			"error", o.err.Error(), "load_age_ms", now.Sub(f.asked).Milliseconds())
+			"error", o.err.Error(), "load_age_ms", now.Sub(f.loadsRequestedAt).Milliseconds())
 	}
 }
--- a/owner/queries.go
+++ b/owner/queries.go
@@ -75,5 +75,5 @@
 	if !found {
 		return 0
 	}
-	return h.tenure.away()
+	return h.tenure.rejectedFor()
 }
--- a/owner/quotas.go
+++ b/owner/quotas.go
@@ -24,12 +24,12 @@
 
 	// quotaReadInterval is the time between two reads of the ledgers while work waits for a
 	// quota. quotaWriteInterval is the time between two writes.
-	quotaReadPause  = 200 * time.Millisecond
-	quotaWritePause = 20 * time.Millisecond
+	quotaReadInterval  = 200 * time.Millisecond
+	quotaWriteInterval = 20 * time.Millisecond
 
 	// maxQuotaRows is the maximum number of organisations in one transaction: each needs a
 	// condition and a row.
-	quotaRowsMost = outside.MaxEntries / 2
+	maxQuotaRows = outside.MaxEntries / 2
 )
 
 // quotas holds the shares of one service in the limits of organisations. Only the loop of its
@@ -41,8 +41,8 @@
 
 	// rows maps an organisation to its ledger as last read or written. loaded reports whether
 	// all ledgers have been read.
-	rows map[string]quotaRow
-	read bool
+	rows   map[string]quotaRow
+	loaded bool
 
 	// inherited maps an organisation to the largest grant of earlier owners that this owner
 	// has found.
@@ -74,7 +74,7 @@
 
 // quotaFor returns what the service may use of an organisation's limit under the given
 // configuration. It returns false if the organisation has no limit.
-func (q *quotas) of(organisation string, current *catalog.Catalog) (shard.Quota, bool) {
+func (q *quotas) quotaFor(organisation string, current *catalog.Catalog) (shard.Quota, bool) {
 	policy, bounded := policyOf(organisation, current)
 	if !bounded {
 		return shard.Quota{}, false
@@ -83,7 +83,7 @@
 	share, limit := row.ledger.Allowance(q.service, q.epoch, policy)
 	if next, found := q.writing[organisation]; found {
 		share = min(share, next.Share)
-		limit = quota.Least(limit, next.Limit)
+		limit = quota.MinLimit(limit, next.Limit)
 	}
 	before := q.inherited[organisation]
 	return shard.Quota{
@@ -105,7 +105,7 @@
 }
 
 // applyRows applies rows that were read from the store, unless a newer version is known.
-func (q *quotas) take(rows []outside.Row) error {
+func (q *quotas) applyRows(rows []outside.Row) error {
 	for _, row := range rows {
 		if row.Key.Table != tableQuota || row.Version <= q.rows[row.Key.Name].version {
 			continue
@@ -114,7 +114,7 @@
 		if err := cbor.Unmarshal(row.Value, &ledger); err != nil {
 			return fmt.Errorf("row of quota %s: %w", row.Key.Name, err)
 		}
-		q.put(row.Key.Name, quotaRow{
+		q.setRow(row.Key.Name, quotaRow{
 			ledger:  ledger,
 			version: row.Version,
 		})
@@ -123,7 +123,7 @@
 }
 
 // setRow sets the state of a row. A grant of a previous owner is recorded as inherited.
-func (q *quotas) put(organisation string, row quotaRow) {
+func (q *quotas) setRow(organisation string, row quotaRow) {
 	q.rows[organisation] = row
 	if own := row.ledger[q.service]; own.Epoch < q.epoch && own.Share > q.inherited[organisation].Share {
 		q.inherited[organisation] = own
@@ -148,7 +148,7 @@
 	changes := make(map[string]quota.Grant)
 	for name, need := range needs {
 		policy, bounded := policyOf(name, current)
-		if !bounded || len(changes) >= quotaRowsMost {
+		if !bounded || len(changes) >= maxQuotaRows {
 			continue
 		}
 		next, differs := q.rows[name].ledger.Propose(q.service, q.epoch, policy, need)
@@ -195,7 +195,7 @@
 }
 
 // anyWaiting reports whether any work waits for a quota.
-func waits(usages []shard.Usage) bool {
+func anyWaiting(usages []shard.Usage) bool {
 	for _, u := range usages {
 		if u.Waiting != (job.Room{}) {
 			return true
@@ -206,17 +206,17 @@
 
 // updateQuotas adjusts the grants of the service to its needs. While work waits for a quota,
 // it also reads the grants of the other services.
-func (d *Duty) balance(ctx context.Context, now time.Time) {
+func (d *Duty) updateQuotas(ctx context.Context, now time.Time) {
 	current := d.deps.Catalog()
 	if !current.HasLimits() {
 		return
 	}
 	usages := d.core.Usages()
 	q := d.quotas
-	if !q.reading && (!q.read || (waits(usages) && now.Sub(q.readAt) >= quotaReadPause)) {
+	if !q.reading && (!q.loaded || (anyWaiting(usages) && now.Sub(q.readAt) >= quotaReadInterval)) {
 		d.readQuotas(ctx, now)
 	}
-	if !q.read || q.writing != nil || now.Before(q.writeAt) {
+	if !q.loaded || q.writing != nil || now.Before(q.writeAt) {
 		return
 	}
 	if changes := q.propose(usages, current); len(changes) > 0 {
@@ -233,13 +233,13 @@
 		d.pushLogged(func(d *Duty, at time.Time) {
 			d.quotas.reading = false
 			if err == nil {
-				err = d.quotas.take(rows)
+				err = d.quotas.applyRows(rows)
 			}
 			if err != nil {
 				d.deps.Log.Warn("quotas not read", "service", d.service, "error", err.Error())
 				return
 			}
-			d.quotas.read = true
+			d.quotas.loaded = true
 		})
 		return nil
 	})
@@ -259,16 +259,16 @@
 				return
 			}
 			q.writing = nil
-			q.writeAt = at.Add(quotaWritePause)
+			q.writeAt = at.Add(quotaWriteInterval)
 			if conflict != nil {
-				if err := q.take(conflict.Rows); err != nil {
+				if err := q.applyRows(conflict.Rows); err != nil {
 					d.deps.Log.Error("row left out", "service", d.service, "error", err.Error())
 				}
 				return
 			}
 			for name, row := range next {
 				row.version = version
-				q.put(name, row)
+				q.setRow(name, row)
 				own := row.ledger[q.service]
 				d.deps.Log.Info("quota held", "service", d.service, "organisation", name, "share", own.Share, "wanted", own.Wanted,
 					"cpu", own.Limit.MilliCPU, "catalog", own.Version)
@@ -289,7 +289,7 @@
 			return receipt.Version, conflict, nil
 		}
 		d.deps.Log.Warn("quotas not written", "service", d.service, "organisations", len(tx.Puts), "error", err.Error())
-		if !clock.Sleep(ctx, commitRetry) {
+		if !clock.Sleep(ctx, commitRetryInterval) {
 			return 0, nil, ctx.Err()
 		}
 	}
--- a/owner/quotas_test.go
+++ b/owner/quotas_test.go
@@ -26,7 +26,7 @@
 )
 
 // limitedCatalog returns a catalog in which the organisation may run limitTasks tasks.
-func organised() *catalog.Catalog {
+func limitedCatalog() *catalog.Catalog {
 	c := &catalog.Catalog{
 		Version: 1,
 		Services: []catalog.Service{{
@@ -78,7 +78,7 @@
 }
 
 // writeJobs writes records of jobs of the organisation. Each has one long-running task.
-func ask(rows *standin.Rows, jobs int) {
+func writeJobs(rows *standin.Rows, jobs int) {
 	for i := range jobs {
 		one := record(fmt.Sprintf("job-%d", i))
 		one.Organisation = organisation
@@ -88,7 +88,7 @@
 	}
 }
 
-func (h *hands) running() int {
+func (h *fakeWorkers) running() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count := 0
@@ -105,20 +105,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		rows := standin.NewRows()
-		h := newHands(rows, "w0", "w1", "w2")
+		h := newFakeWorkers(rows, "w0", "w1", "w2")
 		other := quota.Grant{
 			Epoch:   1,
 			Share:   quota.Whole * 6 / 10,
-			Limit:   organised().Organisations[0].Limit,
+			Limit:   limitedCatalog().Organisations[0].Limit,
 			Version: 1,
 		}
 		writeLedger(rows, quota.Ledger{
 			"other": other,
 		})
-		ask(rows, 2*limitTasks)
+		writeJobs(rows, 2*limitTasks)
 		newEntryWith(t, "a", rows.Table(), alive("a"), func(deps owner.Deps, name string) owner.Deps {
 			deps = h.deps(deps, name)
-			deps.Catalog = organised
+			deps.Catalog = limitedCatalog
 			return deps
 		})
 		until(t, "the share that the other service leaves is used", func() bool { return h.running() == 4 })
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -16,18 +16,18 @@
 	// registryInterval is the time between two reads of the registrations. It is short
 	// because a draining worker must soon stop receiving tasks; workers write their row every
 	// second or two.
-	registryPause = 250 * time.Millisecond
+	registryInterval = 250 * time.Millisecond
 
 	// relayedInterval replaces registryInterval if another entry relays the changes. That
 	// entry leaves out the heartbeats, so that a read ends only when something has changed.
-	relayedPause = 30 * time.Millisecond
+	relayedInterval = 30 * time.Millisecond
 
 	// registryFeedWait is how long a read may wait for a change.
-	registryWait = 750 * time.Millisecond
+	registryFeedWait = 750 * time.Millisecond
 
 	// maxForeignRows is the maximum number of rows of other writers that are remembered in
 	// order to log each once. A deployment has a few hundred workers.
-	foreignMost = 1000
+	maxForeignRows = 1000
 )
 
 // Listing holds the registered workers of a service.
@@ -57,7 +57,7 @@
 	loaded  bool
 	version int64
 
-	workers  map[string]registered
+	workers  map[string]registrationRow
 	watchers map[string]func(Listing)
 
 	// foreign holds the keys of rows that were not written by a worker and have been logged,
@@ -66,15 +66,15 @@
 
 	// unavailable reports whether the last read failed. regainedAt is when a read last
 	// succeeded after a failure.
-	away     bool
-	regained time.Time
+	unavailable bool
+	regainedAt  time.Time
 
 	// watchAdded holds a token after a watcher was added.
-	wanted chan struct{}
+	watchAdded chan struct{}
 }
 
 // registrationRow is a registration with the version of its row.
-type registered struct {
+type registrationRow struct {
 	outside.Registration
 	version int64
 }
@@ -82,16 +82,16 @@
 // NewRegistry returns a registry of the rows in the table of the given name.
 func NewRegistry(table outside.Table, clock clock.Clock, name string, decode func(string, []byte) (outside.Registration, error), log *slog.Logger) *Registry {
 	return &Registry{
-		Count:    func(string, string) {},
-		table:    table,
-		clock:    clock,
-		name:     name,
-		decode:   decode,
-		log:      log,
-		workers:  make(map[string]registered),
-		watchers: make(map[string]func(Listing)),
-		foreign:  make(map[string]bool),
-		wanted:   make(chan struct{}, 1),
+		Count:      func(string, string) {},
+		table:      table,
+		clock:      clock,
+		name:       name,
+		decode:     decode,
+		log:        log,
+		workers:    make(map[string]registrationRow),
+		watchers:   make(map[string]func(Listing)),
+		foreign:    make(map[string]bool),
+		watchAdded: make(chan struct{}, 1),
 	}
 }
 
@@ -106,26 +106,26 @@
 func (r *Registry) Run(ctx context.Context) error {
 	version := int64(-1)
 	for {
-		if !r.watched() {
+		if !r.hasWatchers() {
 			version = -1
 			r.reset()
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-r.wanted:
+			case <-r.watchAdded:
 			}
 			continue
 		}
 		next, relayed, err := r.follow(ctx, version)
 		if err != nil {
-			r.setAway()
+			r.markUnavailable()
 			r.log.Warn("failed to read registrations", "error", err.Error())
 		} else {
 			version = next
 		}
-		pause := registryPause
+		pause := registryInterval
 		if relayed {
-			pause = relayedPause
+			pause = relayedInterval
 		}
 		if !clock.Sleep(ctx, pause) {
 			return nil
@@ -140,10 +140,10 @@
 	defer r.mu.Unlock()
 	r.watchers[service] = changed
 	if r.loaded {
-		changed(r.of(service))
+		changed(r.listing(service))
 	}
 	select {
-	case r.wanted <- struct{}{}:
+	case r.watchAdded <- struct{}{}:
 	default:
 	}
 	return func() {
@@ -158,13 +158,13 @@
 // changes.
 func (r *Registry) follow(ctx context.Context, version int64) (int64, bool, error) {
 	if version < 0 {
-		if next, read := r.refreshed(); read {
+		if next, read := r.loadedVersion(); read {
 			return next, false, nil
 		}
 		next, err := r.read(ctx)
 		return next, false, err
 	}
-	change, err := r.table.Feed(ctx, r.name, version, registryWait)
+	change, err := r.table.Feed(ctx, r.name, version, registryFeedWait)
 	var gone *outside.HistoryGoneError
 	if errors.As(err, &gone) {
 		next, err := r.read(ctx)
@@ -176,11 +176,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	touched := make(map[string]bool)
-	r.noteRead(touched)
+	r.markAvailable(touched)
 	for _, row := range change.Rows {
 		r.apply(row, touched)
 	}
-	r.tell(touched)
+	r.notify(touched)
 	return change.Version, change.Relayed, nil
 }
 
@@ -195,7 +195,7 @@
 	for _, reg := range r.workers {
 		touched[reg.Service] = true
 	}
-	r.workers = make(map[string]registered)
+	r.workers = make(map[string]registrationRow)
 	standing := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		standing[row.Key.Name] = true
@@ -207,14 +207,14 @@
 	}
 	r.loaded = true
 	r.version = version
-	r.noteRead(touched)
-	r.tell(touched)
+	r.markAvailable(touched)
+	r.notify(touched)
 	return version, nil
 }
 
 // loadedVersion returns the version of a read that was made before there was a watcher. It
 // returns false if there was none.
-func (r *Registry) refreshed() (int64, bool) {
+func (r *Registry) loadedVersion() (int64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version, r.loaded
@@ -232,7 +232,7 @@
 	if row.Gone {
 		delete(r.foreign, row.Key.Name)
 	} else {
-		reg, validRow = r.sound(row)
+		reg, validRow = r.validRow(row)
 	}
 	if !validRow {
 		// A row of another writer does not name a usable worker. If it replaced the row of
@@ -243,7 +243,7 @@
 		}
 		return
 	}
-	r.workers[row.Key.Name] = registered{
+	r.workers[row.Key.Name] = registrationRow{
 		Registration: reg,
 		version:      row.Version,
 	}
@@ -256,7 +256,7 @@
 // validRow decodes a row. It returns false if the row was not written by a worker. Each such
 // key is logged once until it holds a worker's row again, because another writer may write it
 // every second.
-func (r *Registry) sound(row outside.Row) (outside.Registration, bool) {
+func (r *Registry) validRow(row outside.Row) (outside.Registration, bool) {
 	key := row.Key.Name
 	reg, err := r.decode(key, row.Value)
 	if err == nil {
@@ -264,16 +264,16 @@
 		return reg, true
 	}
 	r.Count("row_left_out", r.name)
-	if !r.foreign[key] && len(r.foreign) < foreignMost {
+	if !r.foreign[key] && len(r.foreign) < maxForeignRows {
 		r.foreign[key] = true
 		r.log.Warn("registration left out", "worker", key, "version", row.Version, "error", err.Error())
 	}
 	return reg, false
 }
 
-func (r *Registry) of(service string) Listing {
+func (r *Registry) listing(service string) Listing {
 	l := Listing{
-		Regained: r.regained,
+		Regained: r.regainedAt,
 	}
 	for _, reg := range r.workers {
 		if reg.Service == service {
@@ -284,20 +284,20 @@
 }
 
 // markUnavailable records that the store could not be read.
-func (r *Registry) setAway() {
+func (r *Registry) markUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = true
+	r.unavailable = true
 }
 
 // markAvailable records that the store was read. If the store was unavailable before, it adds
 // all watched services to touched, because the return changes the meaning of a missing row.
-func (r *Registry) noteRead(touched map[string]bool) {
-	if !r.away {
+func (r *Registry) markAvailable(touched map[string]bool) {
+	if !r.unavailable {
 		return
 	}
-	r.away = false
-	r.regained = r.clock.Now()
+	r.unavailable = false
+	r.regainedAt = r.clock.Now()
 	r.log.Info("registrations readable again", "workers", len(r.workers))
 	for service := range r.watchers {
 		touched[service] = true
@@ -310,15 +310,15 @@
 	r.loaded = false
 }
 
-func (r *Registry) tell(touched map[string]bool) {
+func (r *Registry) notify(touched map[string]bool) {
 	for service, changed := range r.watchers {
 		if touched[service] {
-			changed(r.of(service))
+			changed(r.listing(service))
 		}
 	}
 }
 
-func (r *Registry) watched() bool {
+func (r *Registry) hasWatchers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.watchers) > 0
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -25,22 +25,22 @@
 )
 
 // registryFixture is a registry over rows that records the newest list passed to its watcher.
-type follower struct {
+type registryFixture struct {
 	rows   *standin.Rows
 	table  outside.Table
 	logged *bytes.Buffer
 	counts map[string]int
 
-	mu   sync.Mutex
-	list []outside.Registration
-	told int
+	mu            sync.Mutex
+	list          []outside.Registration
+	notifications int
 }
 
 // startRegistry starts a registry whose rows hold the CPU of a worker as a decimal number. Any
 // other value is the row of another writer.
-func follow(t *testing.T) *follower {
+func startRegistry(t *testing.T) *registryFixture {
 	t.Helper()
-	f := &follower{
+	f := &registryFixture{
 		rows:   standin.NewRows(),
 		logged: &bytes.Buffer{},
 		counts: make(map[string]int),
@@ -63,7 +63,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.list = l.Workers
-		f.told++
+		f.notifications++
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -76,7 +76,7 @@
 }
 
 // write stores a row, or removes it if value is empty, and waits until the registry has read it.
-func (f *follower) write(worker, value string) {
+func (f *registryFixture) write(worker, value string) {
 	key := outside.Key{
 		Table: "workers",
 		Name:  worker,
@@ -93,7 +93,7 @@
 }
 
 // workers returns the newest list as sorted text.
-func (f *follower) workers() []string {
+func (f *registryFixture) workers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
@@ -108,11 +108,11 @@
 // and removals to the same keys. The list has to hold the workers whose newest row is valid.
 // It guards against a registration that stays in the list after a row of another writer has
 // replaced it.
-func TestListIsThatOfTheSoundRows(t *testing.T) {
+func TestListHoldsWorkersOfValidRows(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := follow(t)
+			f := startRegistry(t)
 			draw := rand.New(rand.NewPCG(seed, seed))
 			want := make(map[string]string)
 			for range 20 {
@@ -137,26 +137,26 @@
 // TestCapacityChangeIsNotifiedAtOnce covers a worker of which only the capacity changes. The
 // registry used to store the row and to notify nobody until something else of the service
 // changed, so that tasks were started on a worker without capacity for them.
-func TestRoomThatChangesIsToldAtOnce(t *testing.T) {
+func TestCapacityChangeIsNotifiedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := follow(t)
+		f := startRegistry(t)
 		f.write("w", "4000")
 		is.Equal(f.workers(), []string{"w=4000"})
 		f.write("w", "1000")
 		is.Equal(f.workers(), []string{"w=1000"})
-		notifications := f.told
+		notifications := f.notifications
 		f.write("w", "1000")
-		is.Equal(f.told, notifications) // A heartbeat alone is no change.
+		is.Equal(f.notifications, notifications) // A heartbeat alone is no change.
 	})
 }
 
 // TestForeignRowIsLoggedOnce has another writer write the same row several times. The row is
 // logged once, and again after a valid row in between.
-func TestRowsOfAnotherWriterAreLoggedOnce(t *testing.T) {
+func TestForeignRowIsLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := follow(t)
+		f := startRegistry(t)
 		for range 5 {
 			f.write("x", "asleep")
 		}
@@ -172,15 +172,15 @@
 // TestRemovedForeignRowsAreForgotten has another writer write and remove as many rows as the
 // registry remembers. Rows used to be remembered forever, so that no later row was logged, and
 // no log line explained why a worker was not used.
-func TestRowsOfAnotherWriterThatAreGoneAreForgotten(t *testing.T) {
-	for name, forget := range map[string]func(f *follower){
-		"seen in changes": func(*follower) {},
-		"read anew":       func(f *follower) { f.rows.Forget() },
+func TestRemovedForeignRowsAreForgotten(t *testing.T) {
+	for name, forget := range map[string]func(f *registryFixture){
+		"seen in changes": func(*registryFixture) {},
+		"read anew":       func(f *registryFixture) { f.rows.Forget() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := follow(t)
+				f := startRegistry(t)
 				for range 2 {
 					for i := range 1000 {
 						f.rows.Write(outside.Key{
--- a/owner/release_test.go
+++ b/owner/release_test.go
@@ -21,7 +21,7 @@
 // TestSubmitDuringRelease submits 3000 jobs while an owner releases its service. These are many
 // more than the transactions of a release hold. Each job has to be stored, or be refused with
 // an error that rules out a later write, so that it may be submitted to the next owner at once.
-func TestJobsAtAReleaseStandOrAreRefusedForSure(t *testing.T) {
+func TestSubmitDuringRelease(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	slow := rows.Table()
@@ -39,7 +39,7 @@
 	e := newEntryOn(t, "a", slow, alive("a"))
 	until(t, "the entry owns the service", e.owns)
 	duty, _ := e.keeper.Duty("s")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	var open, refused atomic.Int64
@@ -49,12 +49,12 @@
 			err := duty.Submit(ctx, record(id))
 			var left *owner.NotServingError
 			switch {
-			case err == nil && !stands(t, rows, id):
+			case err == nil && !isStored(t, rows, id):
 				t.Errorf("job %s was accepted, but is not stored", id)
 			case err == nil:
 			case errors.As(err, &left):
 				refused.Add(1)
-				if stands(t, rows, id) {
+				if isStored(t, rows, id) {
 					t.Errorf("job %s was refused, but is stored", id)
 				}
 			default:
@@ -62,7 +62,7 @@
 			}
 		})
 	}
-	e.keeper.Release(ctx, patience)
+	e.keeper.Release(ctx, waitTimeout)
 	all.Wait()
 	is.Equal(open.Load(), int64(0))
 	is.True(refused.Load() > 0)
@@ -91,9 +91,9 @@
 	}
 	e := newEntryOn(t, "a", table, alive("a"))
 	until(t, "the entry owns the service", e.owns)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	e.keeper.Release(ctx, patience)
+	e.keeper.Release(ctx, waitTimeout)
 	until(t, "the service is released", over.Load)
 	until(t, "the duty has ended", func() bool { return !e.owns() })
 	e.group.Stop() // All transactions that were sent have been counted.
@@ -133,12 +133,12 @@
 	}
 	close(reading)
 	is.NoErr(<-answer)
-	is.True(stands(t, rows, "a"))
+	is.True(isStored(t, rows, "a"))
 }
 
 // TestJobIsRefusedWhenLoadingTakesTooLong has an owner that reads its rows for longer than a
 // submitted job waits. The jobs are refused and never written.
-func TestJobThatAnOwnerDoesNotComeToIsRefusedForSure(t *testing.T) {
+func TestJobIsRefusedWhenLoadingTakesTooLong(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	reading := make(chan struct{})
@@ -163,7 +163,7 @@
 	for i, id := range []string{"a", "b"} {
 		var left *owner.NotServingError
 		is.True(errors.As(errs[i], &left))
-		is.True(!stands(t, rows, id)) // A refused job is never written.
+		is.True(!isStored(t, rows, id)) // A refused job is never written.
 	}
 }
 
--- a/owner/restore.go
+++ b/owner/restore.go
@@ -13,27 +13,27 @@
 // load reads all rows of the service and restores the shard from them. It returns the version
 // from which changes of the jobs are followed.
 func (d *Duty) load(ctx context.Context) (int64, error) {
-	records, since, err := d.readHolding(ctx, prefixIntake+d.service)
+	records, since, err := d.readWithHeartbeat(ctx, prefixIntake+d.service)
 	if err != nil {
 		return 0, err
 	}
-	rows, _, err := d.readHolding(ctx, tableProgress)
+	rows, _, err := d.readWithHeartbeat(ctx, tableProgress)
 	if err != nil {
 		return 0, err
 	}
-	used, _, err := d.readHolding(ctx, tableUsed)
+	used, _, err := d.readWithHeartbeat(ctx, tableUsed)
 	if err != nil {
 		return 0, err
 	}
-	refused, _, err := d.readHolding(ctx, tableRefused)
+	refused, _, err := d.readWithHeartbeat(ctx, tableRefused)
 	if err != nil {
 		return 0, err
 	}
 	now := d.deps.Clock.Now()
-	d.inherit(ctx, used, now)
+	d.restoreWorkers(ctx, used, now)
 	d.restoreRefusals(refused)
 	progress := make(map[string]*shard.Progress, len(rows))
-	d.recordless = make(map[string]shard.Progress)
+	d.orphanProgress = make(map[string]shard.Progress)
 	for _, row := range rows {
 		p, err := shard.DecodeProgress(row.Value)
 		if err != nil {
@@ -45,13 +45,13 @@
 			d.core.RestoreEnded(row.Key.Name, p)
 			continue
 		}
-		d.recordless[row.Key.Name] = p
+		d.orphanProgress[row.Key.Name] = p
 	}
 	for _, row := range records {
 		if strings.HasPrefix(row.Key.Name, prefixCancel) {
 			continue
 		}
-		delete(d.recordless, row.Key.Name)
+		delete(d.orphanProgress, row.Key.Name)
 		record, err := shard.DecodeRecord(row.Value)
 		if err == nil {
 			err = d.core.Restore(record, progress[row.Key.Name], now)
@@ -85,44 +85,44 @@
 // with a long backlog and a slow link, reading takes longer than an owner may be silent.
 // Without the heartbeats each new owner lost the service while it was reading, and none ever
 // served: over links of 2 Mbit/s, one service had 36 owners in a row.
-func (d *Duty) readHolding(ctx context.Context, table string) ([]outside.Row, int64, error) {
+func (d *Duty) readWithHeartbeat(ctx context.Context, table string) ([]outside.Row, int64, error) {
 	var rows []outside.Row
 	version, err := d.deps.Table.ReadPages(ctx, table, d.service, func(page []outside.Row) error {
 		rows = append(rows, page...)
-		return d.holdOn(ctx)
+		return d.writeDueHeartbeat(ctx)
 	})
 	return rows, version, err
 }
 
 // writeDueHeartbeat writes a heartbeat if one is due. It repeats the content of the claim's
 // heartbeat, as this owner has ordered nothing yet.
-func (d *Duty) holdOn(ctx context.Context) error {
+func (d *Duty) writeDueHeartbeat(ctx context.Context) error {
 	now := d.deps.Clock.Now()
-	if now.Sub(d.tenure.lastWrite) < beatPause {
+	if now.Sub(d.tenure.lastWrite) < beatInterval {
 		return nil
 	}
-	version, err := d.tenure.write(ctx, d.tenure.transaction(d.inherited, rowChanges{}, false))
+	version, err := d.tenure.write(ctx, d.tenure.transaction(d.inheritedBeat, rowChanges{}, false))
 	if err != nil {
 		return err
 	}
 	d.tenure.beatVersion = version
-	d.tenure.noteWrite(now)
+	d.tenure.recordWrite(now)
 	return nil
 }
 
 // restoreWorkers restores the workers to which the previous owner may have given tasks, and
 // marks those that have ended with their instances.
-func (d *Duty) inherit(ctx context.Context, rows []outside.Row, now time.Time) {
+func (d *Duty) restoreWorkers(ctx context.Context, rows []outside.Row, now time.Time) {
 	for _, row := range rows {
 		address, err := netip.ParseAddrPort(string(row.Value))
 		if err != nil {
 			d.deps.Log.Error("row left out", "table", row.Key.Table, "key", row.Key.Name, "error", err)
 			continue
 		}
-		d.core.InheritWorker(outside.WorkerRef{
+		d.core.RestoreWorker(outside.WorkerRef{
 			ID:      row.Key.Name,
 			Address: address,
 		}, now)
 	}
-	d.inheritTaken(ctx, now)
+	d.restoreTaken(ctx, now)
 }
--- a/owner/rolling_test.go
+++ b/owner/rolling_test.go
@@ -87,8 +87,8 @@
 	// released reports whether the previous owner had released the service. withoutOwner is the
 	// time since the previous change of the owner row. After a release that is how long the
 	// service had no owner.
-	released bool
-	without  time.Duration
+	released     bool
+	withoutOwner time.Duration
 }
 
 func newRolling(entries, strong int) *rolling {
@@ -171,7 +171,7 @@
 		Options: shard.Options{
 			Lease: time.Second,
 		},
-		Listed: p.roster.Read,
+		ListMembers: p.roster.Read,
 	}, p.Self, p.roster.Members, r.ping)
 	p.group.Go("registry", registry.Run)
 }
@@ -197,7 +197,7 @@
 // end stops a process as the daemon does.
 func (r *rolling) end(p *process) {
 	began := time.Now()
-	p.keeper.Retire()
+	p.keeper.StopClaiming()
 	p.roster.Leave(context.Background())
 	time.Sleep(rollingLinger - time.Since(began))
 	p.keeper.Release(context.Background(), time.Second)
@@ -246,10 +246,10 @@
 			before, found := last[row.Key.Part]
 			if found && !o.Released {
 				list = append(list, handover{
-					service:  row.Key.Part,
-					to:       o.Owner,
-					released: before.released,
-					without:  time.Since(before.at),
+					service:      row.Key.Part,
+					to:           o.Owner,
+					released:     before.released,
+					withoutOwner: time.Since(before.at),
 				})
 			}
 			last[row.Key.Part] = change{
@@ -306,8 +306,8 @@
 	weak int
 	lost int
 
-	without time.Duration
-	longest time.Duration
+	withoutOwner time.Duration
+	longest      time.Duration
 }
 
 func sum(list []handover, strong int) tally {
@@ -322,9 +322,9 @@
 			s.lost++
 			continue
 		}
-		s.without += h.without
-		s.longest = max(s.longest, h.without)
-		if h.without > rollingPrompt {
+		s.withoutOwner += h.withoutOwner
+		s.longest = max(s.longest, h.withoutOwner)
+		if h.withoutOwner > rollingPrompt {
 			s.late++
 		}
 	}
@@ -382,7 +382,7 @@
 			}
 			s := sum(all, c.strong)
 			t.Logf("handovers %d, late %d, to weak entries %d, lost %d, without an owner %s, longest %s",
-				s.moves, s.late, s.weak, s.lost, s.without, s.longest)
+				s.moves, s.late, s.weak, s.lost, s.withoutOwner, s.longest)
 			is.True(2*s.moves >= seeds*rollingServices*c.series) // The entries have been restarted.
 			is.True(float64(s.moves) <= c.maxMoves*seeds*rollingServices)
 			is.True(float64(s.late) <= maxLateShare*float64(s.moves))
--- a/owner/rows.go
+++ b/owner/rows.go
@@ -47,7 +47,7 @@
 
 	// IdleWorkers names the workers of a service on which certainly nothing runs. The next
 	// owner need not wait for them.
-	Lapsed []string `cbor:"3,keyasint,omitempty"`
+	IdleWorkers []string `cbor:"3,keyasint,omitempty"`
 
 	// Ordered names the instances to which the instance controller has recently sent an order
 	// or is about to send one: it writes this field before it sends the orders. The next
@@ -66,17 +66,17 @@
 	// order, because the owner of their service reported that nothing runs there. The
 	// controller first writes this field, then checks that the service still has the same
 	// owner, and then sends the orders.
-	Given []GivenRow `cbor:"8,keyasint,omitempty"`
+	ReleasedWorkers []ReleasedRow `cbor:"8,keyasint,omitempty"`
 
 	// UnobservedMillis is how long after this transaction was made, in milliseconds, an
 	// owner before this one may still matter, even if this one has ended. For a service,
 	// runs that it started may still exist on any worker that is neither in IdleWorkers nor
 	// in Leased. For the instance controller, the instances in Ordered stay blocked.
-	BlindMillis int64 `cbor:"7,keyasint,omitempty"`
+	UnobservedMillis int64 `cbor:"7,keyasint,omitempty"`
 }
 
 // ReleasedRow is a worker of a service whose instance is about to be ordered.
-type GivenRow struct {
+type ReleasedRow struct {
 	Service string `cbor:"1,keyasint"`
 	Worker  string `cbor:"2,keyasint"`
 }
@@ -86,10 +86,10 @@
 	Worker string `cbor:"1,keyasint"`
 
 	// RemainingMillis is how long after the transaction was made tasks may run there at most.
-	LeftMillis int64 `cbor:"2,keyasint"`
+	RemainingMillis int64 `cbor:"2,keyasint"`
 
 	// AnyTask reports that any task may run there. Otherwise Tasks names all tasks that may.
-	Unknown bool     `cbor:"3,keyasint,omitempty"`
+	AnyTask bool     `cbor:"3,keyasint,omitempty"`
 	Tasks   []string `cbor:"4,keyasint,omitempty"`
 }
 
@@ -116,7 +116,7 @@
 	Worker  string `cbor:"2,keyasint"`
 
 	// RemainingMillis is how long the owner of the service is still told about the worker.
-	LeftMillis int64 `cbor:"3,keyasint"`
+	RemainingMillis int64 `cbor:"3,keyasint"`
 }
 
 // CancelKey returns the key of a cancellation that an entry wrote itself.
--- a/owner/standby.go
+++ b/owner/standby.go
@@ -17,14 +17,14 @@
 
 	// maxStandbyBackoff is the maximum time between two attempts to open the standby
 	// partition. No job that an earlier owner may have seen starts before it is open.
-	standbyPauseMost = 250 * time.Millisecond
+	maxStandbyBackoff = 250 * time.Millisecond
 
 	// maxStandbyRows is the maximum number of rows in one transaction. It leaves room below
 	// the limit of a transaction for the rows of the tenure.
-	standbyRowsMost = 80
+	maxStandbyRows = 80
 
 	// standbyCleanupInterval is the time between two removals of redundant rows.
-	standbyCleanPause = 500 * time.Millisecond
+	standbyCleanupInterval = 500 * time.Millisecond
 )
 
 // standby is the partition of the store to which a Duty writes while its own partition rejects
@@ -40,7 +40,7 @@
 	// notBefore is the earliest time of the next transaction after one without effect.
 	// cleanedAt is when redundant rows were last removed.
 	notBefore time.Time
-	cleaned   time.Time
+	cleanedAt time.Time
 }
 
 // StandbyIntakeKey returns the key of the row of an accepted job in the standby partition.
@@ -67,7 +67,7 @@
 // is lost or ctx ends.
 func (d *Duty) openStandby(ctx context.Context) error {
 	for failures := 1; ; failures++ {
-		err := d.tryStandby(ctx)
+		err := d.tryOpenStandby(ctx)
 		var lost *LostError
 		switch {
 		case err == nil:
@@ -77,13 +77,13 @@
 			return nil
 		}
 		d.deps.Log.Info("standby part not opened", "service", d.service, "epoch", d.tenure.epoch, "error", err.Error())
-		if !clock.Sleep(ctx, clock.Backoff(commitRetry, standbyPauseMost, failures)) {
+		if !clock.Sleep(ctx, clock.Backoff(commitRetryInterval, maxStandbyBackoff, failures)) {
 			return nil
 		}
 	}
 }
 
-func (d *Duty) tryStandby(ctx context.Context) error {
+func (d *Duty) tryOpenStandby(ctx context.Context) error {
 	owned, err := d.claimStandby(ctx)
 	if err != nil {
 		return err
@@ -94,12 +94,12 @@
 	}
 	return d.push(func(d *Duty, now time.Time) {
 		d.standby.tenure = owned
-		if err := d.core.ReadStandby(records, ended, d.recordless, now); err != nil {
+		if err := d.core.RestoreStandby(records, ended, d.orphanProgress, now); err != nil {
 			d.deps.Log.Error("standby rows skipped", "part", prefixStandby+d.service, "error", err)
 		}
 		d.standbyRead.Store(true)
 		d.deps.Log.Info("standby part opened", "service", d.service, "epoch", d.tenure.epoch, "records", len(records), "ended", len(ended))
-		d.recordless = nil
+		d.orphanProgress = nil
 	})
 }
 
@@ -132,7 +132,7 @@
 			return d.standbyTenure(part, version, beatVersion), nil
 		}
 	}
-	receipt, err := d.deps.Table.Transact(ctx, claiming(part, version, beatVersion, Ownership{
+	receipt, err := d.deps.Table.Transact(ctx, claimTransaction(part, version, beatVersion, Ownership{
 		Epoch: d.tenure.epoch,
 	}, Beat{}))
 	if err != nil {
@@ -194,8 +194,8 @@
 		d.writeStandby(ctx)
 		return
 	}
-	if now.Sub(s.cleaned) >= standbyCleanPause {
-		s.cleaned = now
+	if now.Sub(s.cleanedAt) >= standbyCleanupInterval {
+		s.cleanedAt = now
 		d.cleanStandby(ctx)
 	}
 }
@@ -204,7 +204,7 @@
 // and the standby partition has failed, it sends an empty write to test whether the partition
 // accepts writes again.
 func (d *Duty) writeStandby(ctx context.Context) {
-	batch := d.core.TakeStandby(standbyRowsMost)
+	batch := d.core.NextStandbyBatch(maxStandbyRows)
 	if batch.Empty() && d.standby.usable() {
 		return
 	}
@@ -235,7 +235,7 @@
 // cleanStandby removes the rows of jobs whose final state is stored in the service's own
 // partition.
 func (d *Duty) cleanStandby(ctx context.Context) {
-	ids := d.core.Settled(standbyRowsMost / 2)
+	ids := d.core.RedundantStandby(maxStandbyRows / 2)
 	if len(ids) == 0 {
 		return
 	}
@@ -267,7 +267,7 @@
 				owned.beatVersion = version
 				then(true, at)
 			case outside.IsNotDone(err):
-				d.standby.notBefore = at.Add(commitRetry)
+				d.standby.notBefore = at.Add(commitRetryInterval)
 				then(false, at)
 			case errors.As(err, &lost):
 				d.core.Depose()
--- a/owner/standby_test.go
+++ b/owner/standby_test.go
@@ -17,7 +17,7 @@
 
 // withPartitionDown returns a table over the rows that leaves the transactions of the given
 // partition unanswered while down is set.
-func partDown(rows *standin.Rows, part string, down *atomic.Bool) outside.Table {
+func withPartitionDown(rows *standin.Rows, part string, down *atomic.Bool) outside.Table {
 	table := rows.Table()
 	write := table.Transact
 	table.Transact = func(ctx context.Context, tx outside.Transaction) (outside.Receipt, error) {
@@ -31,7 +31,7 @@
 	return table
 }
 
-func standsInStandby(t *testing.T, rows *standin.Rows, key outside.Key) bool {
+func isInStandby(t *testing.T, rows *standin.Rows, key outside.Key) bool {
 	t.Helper()
 	row, err := rows.Table().Row(context.Background(), key)
 	if err != nil {
@@ -42,47 +42,47 @@
 
 // TestOwnerAcceptsJobsWhilePartitionIsDown covers an outage of one partition of the store that
 // affects the service's owner only.
-func TestOwnerTakesJobsWhileItsPartIsDown(t *testing.T) {
+func TestOwnerAcceptsJobsWhilePartitionIsDown(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var down atomic.Bool
-	e := newEntryOn(t, "a", partDown(rows, "s", &down), alive("a"))
+	e := newEntryOn(t, "a", withPartitionDown(rows, "s", &down), alive("a"))
 	until(t, "the entry owns the service", e.owns)
 	duty, _ := e.keeper.Duty("s")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	is.NoErr(duty.Submit(ctx, record("before")))
 	down.Store(true)
 	is.NoErr(duty.Submit(ctx, record("meanwhile")))
-	is.True(standsInStandby(t, rows, owner.StandbyIntakeKey("s", "meanwhile")))
+	is.True(isInStandby(t, rows, owner.StandbyIntakeKey("s", "meanwhile")))
 	known, err := duty.Cancel(ctx, "before")
 	is.NoErr(err)
 	is.True(known)
-	is.True(standsInStandby(t, rows, owner.StandbyProgressKey("s", "before")))
+	is.True(isInStandby(t, rows, owner.StandbyProgressKey("s", "before")))
 	state, _ := duty.State("before")
 	is.Equal(state, job.Cancelled)
 	down.Store(false)
 	_, err = duty.Cancel(ctx, "meanwhile")
 	is.NoErr(err)
 	until(t, "the service's own partition holds the progress of both jobs, and the standby partition is empty", func() bool {
-		return standsInStandby(t, rows, owner.ProgressKey("s", "before")) &&
-			standsInStandby(t, rows, owner.ProgressKey("s", "meanwhile")) &&
-			!standsInStandby(t, rows, owner.StandbyProgressKey("s", "before")) &&
-			!standsInStandby(t, rows, owner.StandbyIntakeKey("s", "meanwhile"))
+		return isInStandby(t, rows, owner.ProgressKey("s", "before")) &&
+			isInStandby(t, rows, owner.ProgressKey("s", "meanwhile")) &&
+			!isInStandby(t, rows, owner.StandbyProgressKey("s", "before")) &&
+			!isInStandby(t, rows, owner.StandbyIntakeKey("s", "meanwhile"))
 	})
-	is.True(!stands(t, rows, "before"))
+	is.True(!isStored(t, rows, "before"))
 }
 
 // TestNextOwnerFencesStandbyPartition lets an owner that has been replaced, and does not know
 // it yet, write to the standby partition. None of its writes may take effect.
-func TestSuccessorFencesTheStandbyPart(t *testing.T) {
+func TestNextOwnerFencesStandbyPartition(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var down atomic.Bool
-	first := newEntryOn(t, "a", partDown(rows, "s", &down), alive("a"))
+	first := newEntryOn(t, "a", withPartitionDown(rows, "s", &down), alive("a"))
 	until(t, "the first entry owns the service", first.owns)
 	duty, _ := first.keeper.Duty("s")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	down.Store(true)
 	is.NoErr(duty.Submit(ctx, record("known")))
@@ -101,14 +101,14 @@
 	err := duty.Submit(ctx, record("late"))
 	is.True(err != nil)
 	var notDone *outside.NotDoneError
-	is.True(!errors.As(err, &notDone) || !standsInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
+	is.True(!errors.As(err, &notDone) || !isInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
 	is.True(outside.IsUncertain(err)) // The next owner may have read what an attempt has written.
-	is.True(!standsInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
+	is.True(!isInStandby(t, rows, owner.StandbyIntakeKey("s", "late")))
 }
 
 // TestUnreadableRowIsSkipped writes rows that cannot be decoded to the standby partition. The
 // next owner has to handle the other rows.
-func TestRowThatCannotBeReadHoldsUpNothing(t *testing.T) {
+func TestUnreadableRowIsSkipped(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	first := newEntry(t, "a", rows, alive("a"))
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -13,14 +13,14 @@
 // The loop first loads its rows, which takes about 0.2 s with 2000 jobs. A submission that
 // is not handled in time fails with a *NotServingError, so that callers can still try another
 // entry.
-const takeInMost = time.Second
+const maxSubmitWait = time.Second
 
 // Stages of a submission.
 const (
 	stageWaiting int32 = iota
 
 	// stageHandled means that the loop has started to handle the submission.
-	stageEntered
+	stageHandled
 
 	// stageWithdrawn means that the loop must no longer handle the submission.
 	stageWithdrawn
@@ -36,11 +36,11 @@
 
 // RefusedError reports that a service is too busy to finish a job while it still has value.
 // The job was not accepted, and no earlier attempt to submit it can take effect any more.
-type TurnedAwayError struct {
+type RefusedError struct {
 	Service string
 
 	// RetryAfter is how long to wait before submitting the job again.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // submission is a group of jobs that are submitted together.
@@ -71,8 +71,8 @@
 }
 
 // Error implements error.
-func (e *TurnedAwayError) Error() string {
-	return "service " + e.Service + " has too much to do for the job; retry after " + e.ComeBack.String()
+func (e *RefusedError) Error() string {
+	return "service " + e.Service + " has too much to do for the job; retry after " + e.RetryAfter.String()
 }
 
 // Submit submits a single job; see SubmitAll.
@@ -91,30 +91,30 @@
 		answered: make([]bool, len(records)),
 		errs:     make([]error, len(records)),
 	}
-	err := d.push(func(d *Duty, now time.Time) { d.enter(sub, now) })
+	err := d.push(func(d *Duty, now time.Time) { d.handleSubmission(sub, now) })
 	if err != nil {
-		return sub.rest(&outside.NotDoneError{
+		return sub.fillMissing(&outside.NotDoneError{
 			Call:   "handing in at the owner of " + d.service,
 			Reason: err.Error(),
 		})
 	}
-	late := d.deps.Clock.After(takeInMost)
+	late := d.deps.Clock.After(maxSubmitWait)
 	for missing := len(records); missing > 0; {
 		select {
 		case o := <-sub.outcomes:
-			sub.note(o)
+			sub.addOutcome(o)
 			missing--
 		case <-late:
 			if sub.withdraw() {
-				return sub.rest(d.notServing("it has not come to it"))
+				return sub.fillMissing(d.notServing("it has not come to it"))
 			}
-		case <-d.over:
-			return d.left(sub, &LostError{
+		case <-d.done:
+			return d.stopWaiting(sub, &LostError{
 				Part:   d.service,
 				Reason: "the duty has ended",
 			})
 		case <-ctx.Done():
-			return d.left(sub, ctx.Err())
+			return d.stopWaiting(sub, ctx.Err())
 		}
 	}
 	return sub.errs
@@ -122,8 +122,8 @@
 
 // handleSubmission passes the jobs of a submission to the shard, unless the submission was
 // withdrawn.
-func (d *Duty) enter(sub *submission, now time.Time) {
-	if !sub.stage.CompareAndSwap(stageWaiting, stageEntered) {
+func (d *Duty) handleSubmission(sub *submission, now time.Time) {
+	if !sub.stage.CompareAndSwap(stageWaiting, stageHandled) {
 		return
 	}
 	for i, record := range sub.records {
@@ -143,16 +143,16 @@
 				err:   refused,
 			}
 		default:
-			d.core.Submit(record, now, func(answer shard.Answer) {
+			d.core.Submit(record, now, func(answer shard.SubmitResult) {
 				o := outcome{
 					index: i,
 				}
 				switch {
-				case answer.Taken:
+				case answer.Accepted:
 				case answer.Refused:
-					o.err = &TurnedAwayError{
-						Service:  d.service,
-						ComeBack: answer.ComeBack,
+					o.err = &RefusedError{
+						Service:    d.service,
+						RetryAfter: answer.RetryAfter,
 					}
 				case d.ended:
 					o.err = d.notServing("it has ended")
@@ -168,15 +168,15 @@
 // stopWaiting returns the results of a submission when the duty has ended or the caller no
 // longer waits. It withdraws the submission if the loop has not handled it yet; otherwise jobs
 // without an outcome are uncertain.
-func (d *Duty) left(sub *submission, cause error) []error {
+func (d *Duty) stopWaiting(sub *submission, cause error) []error {
 	if sub.withdraw() {
-		return sub.rest(d.notServing("it has not come to it"))
+		return sub.fillMissing(d.notServing("it has not come to it"))
 	}
 	// Outcomes may have been sent before the duty ended.
 	for len(sub.outcomes) > 0 {
-		sub.note(<-sub.outcomes)
+		sub.addOutcome(<-sub.outcomes)
 	}
-	return sub.rest(&outside.UncertainError{
+	return sub.fillMissing(&outside.UncertainError{
 		Call:  "handing in at the owner of " + d.service,
 		Cause: cause,
 	})
@@ -194,7 +194,7 @@
 func (d *Duty) end() {
 	d.ended = true
 	d.core.RefuseSubmitted()
-	close(d.over)
+	close(d.done)
 }
 
 // Held returns the duty of a service that this entry owns, including one that is still loading
@@ -207,13 +207,13 @@
 }
 
 // addOutcome stores the outcome of one record.
-func (s *submission) note(o outcome) {
+func (s *submission) addOutcome(o outcome) {
 	s.errs[o.index] = o.err
 	s.answered[o.index] = true
 }
 
 // fillMissing sets err for every record without an outcome and returns the results of all.
-func (s *submission) rest(err error) []error {
+func (s *submission) fillMissing(err error) []error {
 	for i, answered := range s.answered {
 		if !answered {
 			s.errs[i] = err
--- a/owner/submit_test.go
+++ b/owner/submit_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func stands(t *testing.T, rows *standin.Rows, id string) bool {
+func isStored(t *testing.T, rows *standin.Rows, id string) bool {
 	t.Helper()
 	row, err := rows.Table().Row(context.Background(), owner.IntakeKey("s", id))
 	if err != nil {
@@ -44,27 +44,27 @@
 // TestSubmittedJobIsStoredOrRefused has a store that rejects all transactions for a while. A
 // job whose record was certainly not written is refused at once, also if a transaction already
 // contains it.
-func TestHandedInJobStandsOrIsRefused(t *testing.T) {
+func TestSubmittedJobIsStoredOrRefused(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var away atomic.Bool
-	e := newEntryOn(t, "a", refusing(rows, &away), alive("a"))
+	e := newEntryOn(t, "a", rejecting(rows, &away), alive("a"))
 	until(t, "the entry owns the service", e.owns)
 	duty, _ := e.keeper.Duty("s")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	is.NoErr(duty.Submit(ctx, record("a")))
-	is.True(stands(t, rows, "a"))
+	is.True(isStored(t, rows, "a"))
 	away.Store(true)
 	for _, id := range []string{"b", "c"} {
 		var notDone *outside.NotDoneError
 		is.True(errors.As(duty.Submit(ctx, record(id)), &notDone))
-		is.True(!stands(t, rows, id))
+		is.True(!isStored(t, rows, id))
 	}
 	away.Store(false)
 	until(t, "the owner accepts jobs again", func() bool { return duty.Submit(ctx, record("b")) == nil })
-	is.True(stands(t, rows, "b"))
-	is.True(!stands(t, rows, "c")) // A refused job is never written.
+	is.True(isStored(t, rows, "b"))
+	is.True(!isStored(t, rows, "c")) // A refused job is never written.
 }
 
 // TestJobInAnUnansweredTransactionIsNotRefused has a store that stops answering. Whether the
@@ -96,7 +96,7 @@
 // TestRejectedOwnerDoesNotFloodStore counts the transactions that an owner sends in a second
 // while the store rejects all of them. The owner builds a new transaction in place of one that
 // it gave up, and must not send it at once.
-func TestOwnerThatIsRefusedDoesNotFillTheStore(t *testing.T) {
+func TestRejectedOwnerDoesNotFloodStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		rows := standin.NewRows()
--- a/owner/successor.go
+++ b/owner/successor.go
@@ -12,27 +12,27 @@
 const (
 	// minCoresShare is the share of the largest entry's cores that an entry needs to be
 	// chosen as a successor: the owner of a large service needs much CPU time.
-	strongShare = 0.5
+	minCoresShare = 0.5
 
 	// listTimeout bounds the read of the list of entries at a release, because callers wait
 	// meanwhile. It is several times what the read normally takes.
-	listedWait = 100 * time.Millisecond
+	listTimeout = 100 * time.Millisecond
 
 	// memberPollInterval is the time between two reads of the list while no other entry is
 	// listed. maxMemberWait is how long a stopping owner waits for another entry, because
 	// its services are better served by it than by no owner. An entry is listed again about
 	// 0.6 s after its previous incarnation has ended. The rest of the time for stopping is
 	// left for requests that are in flight.
-	alonePause = 50 * time.Millisecond
-	aloneWait  = time.Second
+	memberPollInterval = 50 * time.Millisecond
+	maxMemberWait      = time.Second
 
 	// maxMemberWaitShare bounds the same wait, as a share of the time until the deadline of
 	// the release: the release itself needs the rest.
-	aloneShare = 0.5
+	maxMemberWaitShare = 0.5
 )
 
 // StopClaiming keeps the keeper from claiming further services. It still runs those it owns.
-func (k *Keeper) Retire() {
+func (k *Keeper) StopClaiming() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopping = true
@@ -44,7 +44,7 @@
 	k.mu.Lock()
 	k.stopping = true
 	k.released = true
-	held := make(map[string]holding, len(k.held))
+	held := make(map[string]heldPart, len(k.held))
 	for part, h := range k.held {
 		held[part] = h
 	}
@@ -52,7 +52,7 @@
 	if len(held) == 0 {
 		return
 	}
-	k.nameSuccessors(held, k.awaitListed(ctx))
+	k.chooseSuccessors(held, k.awaitMembers(ctx))
 	var all sync.WaitGroup
 	for part, h := range held {
 		all.Add(1)
@@ -66,13 +66,13 @@
 }
 
 // chooseSuccessors chooses the next owner of each held part.
-func (k *Keeper) nameSuccessors(held map[string]holding, listed []Member) {
+func (k *Keeper) chooseSuccessors(held map[string]heldPart, listed []Member) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	owned := make(map[string]int)
 	for part, o := range k.owners {
 		if _, mine := held[part]; !mine {
-			owned[o.holder()]++
+			owned[o.ownerOrNext()]++
 		}
 	}
 	parts := make([]string, 0, len(held))
@@ -80,21 +80,21 @@
 		parts = append(parts, part)
 	}
 	sort.Strings(parts)
-	for part, next := range Deal(listed, k.self.Incarnation, parts, len(k.owners), owned) {
+	for part, next := range AssignSuccessors(listed, k.self.Incarnation, parts, len(k.owners), owned) {
 		held[part].tenure.successor.Store(&next)
 	}
 }
 
 // awaitMembers returns the listed entries. If no other entry is listed, it waits for one, but
 // only briefly, because the other entries may be stopping as well.
-func (k *Keeper) awaitListed(ctx context.Context) []Member {
-	end := k.deps.Clock.Now().Add(aloneBound(ctx))
+func (k *Keeper) awaitMembers(ctx context.Context) []Member {
+	end := k.deps.Clock.Now().Add(memberWait(ctx))
 	for {
-		list := k.listed(ctx)
-		if len(strongest(list, k.self.Incarnation)) > 0 || !k.deps.Clock.Now().Before(end) {
+		list := k.listMembers(ctx)
+		if len(strongMembers(list, k.self.Incarnation)) > 0 || !k.deps.Clock.Now().Before(end) {
 			return list
 		}
-		if !clock.Sleep(ctx, alonePause) {
+		if !clock.Sleep(ctx, memberPollInterval) {
 			return list
 		}
 	}
@@ -102,10 +102,10 @@
 
 // listMembers returns the entries that are listed in the table, or those last seen if the
 // table can't be read.
-func (k *Keeper) listed(ctx context.Context) []Member {
-	bounded, cancel := context.WithTimeout(ctx, listedWait)
+func (k *Keeper) listMembers(ctx context.Context) []Member {
+	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	list, err := k.deps.Listed(bounded)
+	list, err := k.deps.ListMembers(bounded)
 	if err != nil {
 		k.deps.Log.Info("failed to read the list of entries", "error", err.Error())
 		return k.members()
@@ -115,7 +115,7 @@
 
 // ownerOrNext returns the entry that owns a part or, if the part was released, the entry that
 // it was released for. It is empty if there is none.
-func (o known) holder() string {
+func (o ownerRow) ownerOrNext() string {
 	if o.Released {
 		return o.Next
 	}
@@ -125,7 +125,7 @@
 // wake makes the keeper check all parts immediately.
 func (k *Keeper) wake() {
 	select {
-	case k.named <- struct{}{}:
+	case k.notify <- struct{}{}:
 	default:
 		// A check is already pending.
 	}
@@ -136,8 +136,8 @@
 // entries with enough cores and less than an equal share of the parts, it prefers the one that
 // was listed last: in a rolling restart, that entry is restarted last. It returns nil if no
 // other entry is listed.
-func Deal(listed []Member, self string, parts []string, total int, owned map[string]int) map[string]string {
-	strong := strongest(listed, self)
+func AssignSuccessors(listed []Member, self string, parts []string, total int, owned map[string]int) map[string]string {
+	strong := strongMembers(listed, self)
 	if len(strong) == 0 {
 		return nil
 	}
@@ -146,7 +146,7 @@
 	for _, part := range parts {
 		best := strong[0]
 		for _, member := range strong[1:] {
-			if before(member, best, share, owned) {
+			if isPreferred(member, best, share, owned) {
 				best = member
 			}
 		}
@@ -158,17 +158,17 @@
 
 // memberWait returns how long a stopping owner waits for another entry to be listed, given the
 // deadline of its release.
-func aloneBound(ctx context.Context) time.Duration {
+func memberWait(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		return aloneWait
+		return maxMemberWait
 	}
-	return min(aloneWait, time.Duration(aloneShare*float64(time.Until(deadline))))
+	return min(maxMemberWait, time.Duration(maxMemberWaitShare*float64(time.Until(deadline))))
 }
 
 // isPreferred reports whether a is a better successor than b. Entries that exceed the share
 // least come first, then those that were listed last.
-func before(a, b Member, share int, owned map[string]int) bool {
+func isPreferred(a, b Member, share int, owned map[string]int) bool {
 	overA := max(0, owned[a.Incarnation]-share+1)
 	overB := max(0, owned[b.Incarnation]-share+1)
 	if overA != overB {
@@ -182,7 +182,7 @@
 
 // strongMembers returns the entries other than self with enough cores to own a large service;
 // see minCoresShare.
-func strongest(listed []Member, self string) []Member {
+func strongMembers(listed []Member, self string) []Member {
 	maxCores := 0.0
 	for _, member := range listed {
 		if member.Incarnation != self {
@@ -191,7 +191,7 @@
 	}
 	var strong []Member
 	for _, member := range listed {
-		if member.Incarnation != self && member.Cores >= strongShare*maxCores {
+		if member.Incarnation != self && member.Cores >= minCoresShare*maxCores {
 			strong = append(strong, member)
 		}
 	}
--- a/owner/successor_test.go
+++ b/owner/successor_test.go
@@ -101,14 +101,14 @@
 			for entry, count := range c.owned {
 				owned[entry] = count
 			}
-			is.Equal(owner.Deal(c.listed, "self", c.parts, c.total, owned), c.want)
+			is.Equal(owner.AssignSuccessors(c.listed, "self", c.parts, c.total, owned), c.want)
 		})
 	}
 }
 
 // TestAssignSuccessorsSpreadsParts assigns parts to entries that own none. No entry gets more
 // than its share, and the order of the list does not matter.
-func TestDealtPartsSpread(t *testing.T) {
+func TestAssignSuccessorsSpreadsParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := rapid.Permutation([]int64{1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(t, "versions")
 		count := rapid.IntRange(1, len(versions)).Draw(t, "entries")
@@ -117,7 +117,7 @@
 			listed = append(listed, member(string(rune('a'+i)), 1, versions[i]))
 		}
 		parts := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{4}"), 1, 20, rapid.ID[string]).Draw(t, "parts")
-		next := owner.Deal(listed, "self", parts, len(parts), make(map[string]int))
+		next := owner.AssignSuccessors(listed, "self", parts, len(parts), make(map[string]int))
 		if len(next) != len(parts) {
 			t.Fatalf("%d of %d parts are assigned", len(next), len(parts))
 		}
@@ -129,7 +129,7 @@
 			}
 		}
 		turned := rapid.Permutation(listed).Draw(t, "turned")
-		for part, entry := range owner.Deal(turned, "self", parts, len(parts), make(map[string]int)) {
+		for part, entry := range owner.AssignSuccessors(turned, "self", parts, len(parts), make(map[string]int)) {
 			if next[part] != entry {
 				t.Fatalf("part %s goes to %s or %s", part, entry, next[part])
 			}
