--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -15,20 +15,20 @@
 const (
 	// beatInterval is the longest time between two transactions of an owner. Other entries
 	// take over when it misses a few.
-	beatPause = 500 * time.Millisecond
+	beatInterval = 500 * time.Millisecond
 
 	// commitRetryInterval is the time before a failed transaction is sent again.
-	commitRetry = 60 * time.Millisecond
+	commitRetryInterval = 60 * time.Millisecond
 
 	// minFailedWrites is how many attempts in a row must fail before the store counts as
 	// failing. If the store loses a third of its answers, this happens to one transaction
 	// in thirty.
-	failingAfter = 3
+	minFailedWrites = 3
 )
 
 // maxTenureEntries is how many entries of a transaction the tenure itself uses at most: two
 // checks, the heartbeat and, at a release, the owner's row.
-const tenureEntries = 4
+const maxTenureEntries = 4
 
 // ExistsError reports that a transaction was not applied because rows that it was to create
 // already exist. The part is still owned.
@@ -72,8 +72,8 @@
 
 	// lastWrite is when the last applied transaction was sent. lastWriteMillis is the same
 	// time in milliseconds, for reads by other goroutines.
-	lastWrite time.Time
-	wrote     atomic.Int64
+	lastWrite       time.Time
+	lastWriteMillis atomic.Int64
 
 	// failures counts the failed attempts since the last answer from the store that was a
 	// success or a conflict.
@@ -81,7 +81,7 @@
 
 	// rejectedSince is since when the store has rejected every attempt, in milliseconds; 0 if
 	// the last attempt had another outcome.
-	turnedAway atomic.Int64
+	rejectedSince atomic.Int64
 
 	// successor is the entry that the part is released for; nil until one is chosen.
 	successor atomic.Pointer[string]
@@ -97,24 +97,24 @@
 		ownerVersion: won.version,
 		beatVersion:  won.version,
 	}
-	t.noteWrite(now)
+	t.recordWrite(now)
 	return t
 }
 
 // age returns the time since the last applied transaction was sent.
 func (t *tenure) age() time.Duration {
-	return t.clock.Now().Sub(clock.FromMillis(t.wrote.Load()))
+	return t.clock.Now().Sub(clock.FromMillis(t.lastWriteMillis.Load()))
 }
 
 // failing reports whether the last attempts have all failed. Fewer than minFailedWrites don't
 // count, because single answers may be lost.
 func (t *tenure) failing() bool {
-	return t.failures.Load() >= failingAfter
+	return t.failures.Load() >= minFailedWrites
 }
 
 // rejectedFor returns for how long the store has rejected every attempt.
-func (t *tenure) away() time.Duration {
-	since := t.turnedAway.Load()
+func (t *tenure) rejectedFor() time.Duration {
+	since := t.rejectedSince.Load()
 	if since == 0 {
 		return 0
 	}
@@ -122,18 +122,18 @@
 }
 
 // trackRejection updates rejectedSince from the result of an attempt.
-func (t *tenure) noteOutcome(err error) {
-	if outside.IsTurnedAway(err) {
-		t.turnedAway.CompareAndSwap(0, clock.Millis(t.clock.Now()))
+func (t *tenure) trackRejection(err error) {
+	if outside.IsUnavailable(err) {
+		t.rejectedSince.CompareAndSwap(0, clock.Millis(t.clock.Now()))
 		return
 	}
-	t.turnedAway.Store(0)
+	t.rejectedSince.Store(0)
 }
 
 // recordWrite records the time at which an applied transaction was sent.
-func (t *tenure) noteWrite(sent time.Time) {
+func (t *tenure) recordWrite(sent time.Time) {
 	t.lastWrite = sent
-	t.wrote.Store(clock.Millis(sent))
+	t.lastWriteMillis.Store(clock.Millis(sent))
 }
 
 // rowChanges are the changes to rows in one transaction, besides the tenure's own rows.
@@ -174,7 +174,7 @@
 	if release {
 		tx.Puts = append(tx.Puts, outside.Put{
 			Key:   ownerKey(t.part),
-			Value: encodeRow(t.released()),
+			Value: encodeRow(t.releasedRow()),
 		})
 	}
 	tx.Puts = append(tx.Puts, rows.puts...)
@@ -182,7 +182,7 @@
 }
 
 // releasedRow returns the owner's row that gives up the part.
-func (t *tenure) released() Ownership {
+func (t *tenure) releasedRow() Ownership {
 	o := Ownership{
 		Epoch:    t.epoch,
 		Released: true,
@@ -201,10 +201,10 @@
 func (t *tenure) write(ctx context.Context, tx outside.Transaction) (int64, error) {
 	for {
 		version, err := t.writeOnce(ctx, tx)
-		if err == nil || !isOpen(err) {
+		if err == nil || !needsRetry(err) {
 			return version, err
 		}
-		if !clock.Sleep(ctx, commitRetry) {
+		if !clock.Sleep(ctx, commitRetryInterval) {
 			return 0, ctx.Err()
 		}
 	}
@@ -216,14 +216,14 @@
 	certain := true
 	for {
 		version, err := t.writeOnce(ctx, tx)
-		if err == nil || !isOpen(err) {
+		if err == nil || !needsRetry(err) {
 			return version, err
 		}
 		certain = certain && outside.IsNotDone(err)
 		if certain && t.failing() {
 			return 0, err
 		}
-		if !clock.Sleep(ctx, commitRetry) {
+		if !clock.Sleep(ctx, commitRetryInterval) {
 			return 0, ctx.Err()
 		}
 	}
@@ -231,14 +231,14 @@
 
 // needsRetry reports whether a transaction with this error has to be sent again, either because
 // it was not applied or because its result is not known.
-func isOpen(err error) bool {
+func needsRetry(err error) bool {
 	return outside.IsNotDone(err) || outside.IsUncertain(err)
 }
 
 // writeOnce sends a transaction once.
 func (t *tenure) writeOnce(ctx context.Context, tx outside.Transaction) (int64, error) {
 	receipt, err := t.table.Transact(ctx, tx)
-	t.noteOutcome(err)
+	t.trackRejection(err)
 	if err == nil {
 		t.failures.Store(0)
 		return receipt.Version, nil
@@ -246,11 +246,11 @@
 	var conflict *outside.ConflictError
 	if errors.As(err, &conflict) {
 		t.failures.Store(0)
-		return t.conflicted(conflict, string(tx.Puts[0].Value))
+		return t.resolveConflict(conflict, string(tx.Puts[0].Value))
 	}
 	t.failures.Add(1)
 	t.log.Warn("transaction without success", "part", t.part, "epoch", t.epoch, "error", err.Error())
-	if !isOpen(err) {
+	if !needsRetry(err) {
 		// An answer that can't be decoded does not tell whether the transaction was applied.
 		err = &outside.UncertainError{
 			Call:  "transaction",
@@ -262,7 +262,7 @@
 
 // resolveConflict returns the result of a transaction that met a conflict; want is the
 // heartbeat that the transaction writes.
-func (t *tenure) conflicted(conflict *outside.ConflictError, want string) (int64, error) {
+func (t *tenure) resolveConflict(conflict *outside.ConflictError, want string) (int64, error) {
 	beat, _ := conflict.Find(beatKey(t.part))
 	if string(beat.Value) == want {
 		return beat.Version, nil
--- a/owner/waves.go
+++ b/owner/waves.go
@@ -13,7 +13,7 @@
 )
 
 // loadWaves reads the stored progress of all waves.
-func (f *fleet) load(ctx context.Context) error {
+func (f *instanceController) loadWaves(ctx context.Context) error {
 	rows, _, err := f.deps.Table.ReadAll(ctx, tableWaves, partInstances)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 }
 
 // updateWaves adds new waves that the operator has requested and updates known ones.
-func (f *fleet) takeWaves() {
+func (f *instanceController) updateWaves() {
 	now := f.deps.Clock.Now()
 	for _, wave := range f.deps.Waves.Waves() {
 		state, found := f.waves[wave.Number]
@@ -59,17 +59,17 @@
 	}
 }
 
-func (f *fleet) openWaves() []*pool.Wave {
+func (f *instanceController) openWaves() []*pool.Wave {
 	var list []*pool.Wave
 	for _, state := range f.waves {
-		if !state.completed && state.Number > 0 && len(list) < waveRounds {
+		if !state.completed && state.Number > 0 && len(list) < maxOpenWaves {
 			list = append(list, &state.Wave)
 		}
 	}
 	return list
 }
 
-func (f *fleet) done(wave int64, instance string) {
+func (f *instanceController) markDone(wave int64, instance string) {
 	if state, found := f.waves[wave]; found {
 		state.Done[instance] = true
 		state.written = false
@@ -78,8 +78,8 @@
 
 // completeWaves marks the waves that are complete. It does nothing if the list of instances is
 // older than four list intervals.
-func (f *fleet) completeWaves() {
-	if f.deps.Clock.Now().Sub(f.listed) >= listPause*4 {
+func (f *instanceController) completeWaves() {
+	if f.deps.Clock.Now().Sub(f.listed) >= listInterval*4 {
 		return
 	}
 	for number, state := range f.waves {
@@ -94,7 +94,7 @@
 // write writes the waves that have changed, or only the heartbeat when that is due. It then
 // publishes the waves to the operator in separate transactions, because those rows belong to
 // another part.
-func (f *fleet) write(ctx context.Context, release bool) error {
+func (f *instanceController) write(ctx context.Context, release bool) error {
 	now := f.deps.Clock.Now()
 	var puts []outside.Put
 	var unpublished []*waveState
@@ -108,26 +108,26 @@
 			state.written = true
 		}
 	}
-	if len(puts) > 0 || release || now.Sub(f.tenure.lastWrite) >= beatPause {
-		if err := f.confirm(ctx, puts, release); err != nil {
+	if len(puts) > 0 || release || now.Sub(f.tenure.lastWrite) >= beatInterval {
+		if err := f.confirmOwnership(ctx, puts, release); err != nil {
 			return err
 		}
 	}
-	f.show(ctx, unpublished)
+	f.publishWaves(ctx, unpublished)
 	return nil
 }
 
 // confirmOwnership writes rows together with the heartbeat. If it succeeds, this entry still
 // owned the instances when the transaction was applied.
-func (f *fleet) confirm(ctx context.Context, puts []outside.Put, release bool) error {
+func (f *instanceController) confirmOwnership(ctx context.Context, puts []outside.Put, release bool) error {
 	now := f.deps.Clock.Now()
 	beat := Beat{
-		Ordered:     f.recentOrders(),
-		Taken:       f.taken(now),
-		Given:       f.given,
-		BlindMillis: max(0, millisUp(f.aloneUntil.Sub(now))),
+		Ordered:          f.recentOrders(),
+		Taken:            f.takenRows(now),
+		ReleasedWorkers:  f.releasedWorkers,
+		UnobservedMillis: max(0, ceilMillis(f.blockedUntil.Sub(now))),
 	}
-	bounded, cancel := context.WithTimeout(ctx, ownerHorizon)
+	bounded, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	version, err := f.tenure.write(bounded, f.tenure.transaction(beat, rowChanges{
 		puts: puts,
@@ -136,12 +136,12 @@
 		return fmt.Errorf("writing the heartbeat of the instance controller: %w", err)
 	}
 	f.tenure.beatVersion = version
-	f.tenure.noteWrite(now)
+	f.tenure.recordWrite(now)
 	return nil
 }
 
 // publishWaves writes the state of waves to the operator's table.
-func (f *fleet) show(ctx context.Context, list []*waveState) {
+func (f *instanceController) publishWaves(ctx context.Context, list []*waveState) {
 	for _, state := range list {
 		_, err := f.deps.Table.Transact(ctx, outside.Transaction{
 			Puts: []outside.Put{{
--- a/owner/workers_test.go
+++ b/owner/workers_test.go
@@ -15,7 +15,7 @@
 )
 
 // fakeWorkers are workers of the service. Their runs do not end unless finish is called.
-type hands struct {
+type fakeWorkers struct {
 	mu    sync.Mutex
 	start time.Time
 
@@ -25,31 +25,31 @@
 
 	// ends holds the ends that each worker lists. polls counts the polls of each worker.
 	ends  map[string][]outside.End
-	looks map[string]int
+	polls map[string]int
 
 	// started counts the task starts of each job, stopped the task stops.
 	started map[string]int
 	stopped map[string]int
 }
 
-func newHands(rows *standin.Rows, ids ...string) *hands {
-	h := &hands{
+func newFakeWorkers(rows *standin.Rows, ids ...string) *fakeWorkers {
+	h := &fakeWorkers{
 		start:   time.Now(),
 		down:    make(map[string]bool),
 		runs:    make(map[string]map[job.TaskID]int64),
 		ends:    make(map[string][]outside.End),
-		looks:   make(map[string]int),
+		polls:   make(map[string]int),
 		started: make(map[string]int),
 		stopped: make(map[string]int),
 	}
 	for _, id := range ids {
-		h.list(rows, id)
+		h.register(rows, id)
 	}
 	return h
 }
 
 // register lists a worker.
-func (h *hands) list(rows *standin.Rows, id string) {
+func (h *fakeWorkers) register(rows *standin.Rows, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runs[id] = make(map[job.TaskID]int64)
@@ -60,7 +60,7 @@
 }
 
 // finish ends all runs of a worker successfully and resets its poll counter.
-func (h *hands) finish(id string) {
+func (h *fakeWorkers) finish(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for task, number := range h.runs[id] {
@@ -72,39 +72,39 @@
 			Kind:   outside.EndDone,
 		})
 	}
-	h.looks[id] = 0
+	h.polls[id] = 0
 }
 
 // pollsOf returns the number of polls of a worker since the last call of finish for it.
-func (h *hands) looksAt(id string) int {
+func (h *fakeWorkers) pollsOf(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.looks[id]
+	return h.polls[id]
 }
 
 // cutOff makes a worker refuse connections. Its runs go on.
-func (h *hands) cutOff(id string) {
+func (h *fakeWorkers) cutOff(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.down[id] = true
 }
 
 // startsOf returns how often tasks of a job were started.
-func (h *hands) startsOf(id string) int {
+func (h *fakeWorkers) startsOf(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.started[id]
 }
 
 // stopsOf returns how often tasks of a job were stopped.
-func (h *hands) stopsOf(id string) int {
+func (h *fakeWorkers) stopsOf(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.stopped[id]
 }
 
 // workerOf returns the ID of the worker that runs a task of a job, or "".
-func (h *hands) holder(id string) string {
+func (h *fakeWorkers) workerOf(id string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for worker, runs := range h.runs {
@@ -117,7 +117,7 @@
 	return ""
 }
 
-func (h *hands) refused(worker outside.WorkerRef) error {
+func (h *fakeWorkers) refused(worker outside.WorkerRef) error {
 	if !h.down[worker.ID] {
 		return nil
 	}
@@ -127,11 +127,11 @@
 	}
 }
 
-func (h *hands) hold(_ context.Context, worker outside.WorkerRef, renewal outside.Renewal) (outside.Glance, error) {
-	time.Sleep(min(renewal.Wait, glanceWait))
+func (h *fakeWorkers) poll(_ context.Context, worker outside.WorkerRef, renewal outside.Renewal) (outside.WorkerStatus, error) {
+	time.Sleep(min(renewal.Wait, pollWait))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	glance := outside.Glance{
+	glance := outside.WorkerStatus{
 		Clock: time.Since(h.start),
 	}
 	for task, number := range h.runs[worker.ID] {
@@ -146,11 +146,11 @@
 			glance.Ends = append(glance.Ends, end)
 		}
 	}
-	h.looks[worker.ID]++
+	h.polls[worker.ID]++
 	return glance, h.refused(worker)
 }
 
-func (h *hands) startOne(_ context.Context, worker outside.WorkerRef, order outside.StartOrder) (time.Duration, error) {
+func (h *fakeWorkers) startOne(_ context.Context, worker outside.WorkerRef, order outside.StartOrder) (time.Duration, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.refused(worker); err != nil {
@@ -161,7 +161,7 @@
 	return time.Since(h.start), nil
 }
 
-func (h *hands) stopOne(_ context.Context, worker outside.WorkerRef, task job.TaskID, run, _ int64) (time.Duration, error) {
+func (h *fakeWorkers) stopOne(_ context.Context, worker outside.WorkerRef, task job.TaskID, run, _ int64) (time.Duration, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.refused(worker); err != nil {
@@ -175,17 +175,17 @@
 }
 
 // deps changes the dependencies of an entry so that it uses these workers.
-func (h *hands) deps(deps owner.Deps, _ string) owner.Deps {
+func (h *fakeWorkers) deps(deps owner.Deps, _ string) owner.Deps {
 	deps.Workers = outside.Workers{
-		Hold:  h.hold,
+		Poll:  h.poll,
 		Start: h.startOne,
 		Stop:  h.stopOne,
 	}
 	deps.Options = shard.Options{
-		Lease:    endlessLease,
-		BusyWait: glanceWait,
-		IdleWait: glanceWait,
-		ShownFor: time.Hour,
+		Lease:        endlessLease,
+		BusyPollWait: pollWait,
+		IdlePollWait: pollWait,
+		JobRetention: time.Hour,
 	}
 	deps.Site.RowBytes = 65_536
 	deps.Registry = owner.NewRegistry(deps.Table, clock.System(), tableListed, func(id string, _ []byte) (outside.Registration, error) {
--- a/peer/changes.go
+++ b/peer/changes.go
@@ -128,8 +128,8 @@
 			Version: row.Version,
 			Gone:    row.Gone,
 		}
-		if len(row.Value) >= packFrom {
-			packed, err := s.packed.of(row)
+		if len(row.Value) >= minPackSize {
+			packed, err := s.packed.get(row)
 			if err != nil {
 				return nil, err
 			}
--- a/peer/changes_test.go
+++ b/peer/changes_test.go
@@ -20,7 +20,7 @@
 )
 
 // startForwarding starts an entry that forwards changes, and returns its address.
-func passing(t *testing.T, pass func(ctx context.Context, table string, after int64, wait time.Duration) (feed.Passed, error)) netip.AddrPort {
+func startForwarding(t *testing.T, pass func(ctx context.Context, table string, after int64, wait time.Duration) (feed.Passed, error)) netip.AddrPort {
 	t.Helper()
 	gin.SetMode(gin.TestMode)
 	router := gin.New()
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestChangesArePassedOnWhole(t *testing.T) {
+func TestChangesAreForwardedUnchanged(t *testing.T) {
 	is := is.New(t)
 	want := feed.Passed{
 		Rows: []outside.Row{{
@@ -71,7 +71,7 @@
 		Age:     30 * time.Millisecond,
 		Held:    40 * time.Millisecond,
 	}
-	to := passing(t, func(_ context.Context, table string, after int64, wait time.Duration) (feed.Passed, error) {
+	to := startForwarding(t, func(_ context.Context, table string, after int64, wait time.Duration) (feed.Passed, error) {
 		is.Equal(table, "op")
 		is.Equal(after, int64(16))
 		is.Equal(wait, 50*time.Millisecond)
@@ -80,10 +80,10 @@
 	is.Equal(changes(t, to, 50*time.Millisecond), want)
 }
 
-func TestSourceSaysWhyItPassesNothingOn(t *testing.T) {
+func TestChangesReturnsSourceError(t *testing.T) {
 	ask := func(t *testing.T, answer error) error {
 		t.Helper()
-		to := passing(t, func(context.Context, string, int64, time.Duration) (feed.Passed, error) { return feed.Passed{}, answer })
+		to := startForwarding(t, func(context.Context, string, int64, time.Duration) (feed.Passed, error) { return feed.Passed{}, answer })
 		for {
 			_, err := peer.NewClient(func(string, int, int) {}).Changes(context.Background(), to, "op", 16, 0)
 			if !errors.Is(err, context.DeadlineExceeded) {
@@ -121,7 +121,7 @@
 }
 
 // forwardRow returns a Server.Pass function that forwards one row with the given value.
-func rowOf(value []byte) func(context.Context, string, int64, time.Duration) (feed.Passed, error) {
+func forwardRow(value []byte) func(context.Context, string, int64, time.Duration) (feed.Passed, error) {
 	return func(context.Context, string, int64, time.Duration) (feed.Passed, error) {
 		return feed.Passed{
 			Rows: []outside.Row{{
@@ -147,22 +147,22 @@
 	return value
 }
 
-func TestLargeChangeIsPassedOnCompressed(t *testing.T) {
+func TestLargeChangeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	value := configuration()
-	got := changes(t, passing(t, rowOf(value)), 0)
+	got := changes(t, startForwarding(t, forwardRow(value)), 0)
 	is.Equal(got.Rows[0].Value, value)
 }
 
 // TestLargeChangeIsRejectedOverBudget covers a configuration change that all entries request from
 // an owner at once, over a link that also carries other traffic. Beyond the budget the owner
 // answers 429.
-func TestLargeChangeIsLeftToTheStoreWhereTheLinkIsShort(t *testing.T) {
+func TestLargeChangeIsRejectedOverBudget(t *testing.T) {
 	is := is.New(t)
 	gin.SetMode(gin.TestMode)
 	router := gin.New()
 	server := &peer.Server{
-		Pass:       rowOf(configuration()),
+		Pass:       forwardRow(configuration()),
 		PassBudget: link.FeedBudget(1000), // Bits per second: one answer uses the budget of an hour.
 	}
 	server.Routes(router)
--- a/peer/client.go
+++ b/peer/client.go
@@ -35,12 +35,12 @@
 
 	// maxIdleConns is the maximum number of idle connections to one entry. Twice as many may be
 	// open.
-	kept = 8
+	maxIdleConns = 8
 
 	// idleTimeout is how long an idle connection is kept. It is below the 15 s after which the
 	// other entry closes an idle connection: a call sent at that moment would have an uncertain
 	// outcome.
-	idle = 10 * time.Second
+	idleTimeout = 10 * time.Second
 
 	// maxBody is the maximum size of a body in bytes. The largest body is a job with its text.
 	maxBody = 4 << 20
@@ -106,10 +106,10 @@
 func NewClient(meter conns.Meter) *Client {
 	return &Client{
 		conns: conns.NewClient(conns.Limits{
-			PerAddress: 2 * kept,
-			Kept:       kept,
+			PerAddress: 2 * maxIdleConns,
+			Kept:       maxIdleConns,
 			Dial:       callTimeout,
-			Idle:       idle,
+			Idle:       idleTimeout,
 			Answer:     maxBody,
 			Meter:      meter,
 		}),
@@ -119,7 +119,7 @@
 // Cancel requests the cancellation of a job from the owner. It returns false if the owner does
 // not know the job.
 func (c *Client) Cancel(ctx context.Context, to netip.AddrPort, service, id string) (bool, error) {
-	status, _, err := c.tell(ctx, cancelTimeout, to, pathCancel, url.Values{
+	status, _, err := c.callOnce(ctx, cancelTimeout, to, pathCancel, url.Values{
 		queryService: {service},
 		"id":         {id},
 	}, nil)
@@ -137,7 +137,7 @@
 	if err != nil {
 		return shard.Load{}, fmt.Errorf("encoding a question for load: %w", err)
 	}
-	_, body, err := c.ask(ctx, http.MethodPost, to, pathLoadCompact, url.Values{
+	_, body, err := c.callIdempotent(ctx, http.MethodPost, to, pathLoadCompact, url.Values{
 		queryService: {service},
 	}, encoded)
 	if err != nil {
@@ -153,7 +153,7 @@
 // Offer sends an accepted job to the owner. The parameter first reports that the job was sent to
 // no other entry before.
 func (c *Client) Offer(ctx context.Context, to netip.AddrPort, service string, record shard.Record, version int64, first bool) error {
-	_, _, err := c.tell(ctx, callTimeout, to, pathOffer, url.Values{
+	_, _, err := c.callOnce(ctx, callTimeout, to, pathOffer, url.Values{
 		queryService: {service},
 		"version":    {strconv.FormatInt(version, 10)},
 		"first":      {strconv.FormatBool(first)},
@@ -163,7 +163,7 @@
 
 // Pending requests the number of jobs of a route that have not started from the owner.
 func (c *Client) Pending(ctx context.Context, to netip.AddrPort, service, route string) (int, error) {
-	_, body, err := c.ask(ctx, http.MethodGet, to, pathPending, url.Values{
+	_, body, err := c.callIdempotent(ctx, http.MethodGet, to, pathPending, url.Values{
 		queryService: {service},
 		"route":      {route},
 	}, nil)
@@ -179,7 +179,7 @@
 
 // Ping checks whether an entry owns a service and when it last wrote.
 func (c *Client) Ping(ctx context.Context, to netip.AddrPort, service string) (owner.Pong, error) {
-	_, body, err := c.ask(ctx, http.MethodGet, to, pathPing, url.Values{
+	_, body, err := c.callIdempotent(ctx, http.MethodGet, to, pathPing, url.Values{
 		queryService: {service},
 	}, nil)
 	if err != nil {
@@ -200,7 +200,7 @@
 // State requests the state of a job from the owner. It returns false if the owner does not know
 // the job.
 func (c *Client) State(ctx context.Context, to netip.AddrPort, service, id string) (job.State, bool, error) {
-	status, body, err := c.ask(ctx, http.MethodGet, to, pathState, url.Values{
+	status, body, err := c.callIdempotent(ctx, http.MethodGet, to, pathState, url.Values{
 		queryService: {service},
 		"id":         {id},
 	}, nil)
@@ -215,7 +215,7 @@
 }
 
 // callIdempotent sends an idempotent request, which may be sent a second time.
-func (c *Client) ask(ctx context.Context, method string, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
+func (c *Client) callIdempotent(ctx context.Context, method string, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
 	return c.call(ctx, path, query, conns.Call{
 		Method: method,
 		To:     to,
@@ -229,7 +229,7 @@
 }
 
 // callOnce sends a request that is not idempotent and is never sent a second time.
-func (c *Client) tell(ctx context.Context, within time.Duration, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
+func (c *Client) callOnce(ctx context.Context, within time.Duration, to netip.AddrPort, path string, query url.Values, body []byte) (int, []byte, error) {
 	return c.call(ctx, path, query, conns.Call{
 		Method: http.MethodPost,
 		To:     to,
--- a/peer/load.go
+++ b/peer/load.go
@@ -193,14 +193,14 @@
 
 // load handles a load request of an entry of an earlier version; the answer is JSON.
 func (s *Server) load(c *gin.Context, duty *owner.Duty) {
-	if load, ok := s.loadOf(c, duty); ok {
+	if load, ok := s.exchangeLoad(c, duty); ok {
 		c.JSON(http.StatusOK, load)
 	}
 }
 
 // loadCompact handles a load request; the answer is in the compact form.
 func (s *Server) loadCompact(c *gin.Context, duty *owner.Duty) {
-	load, ok := s.loadOf(c, duty)
+	load, ok := s.exchangeLoad(c, duty)
 	if !ok {
 		return
 	}
--- a/peer/load_test.go
+++ b/peer/load_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestLoadRoundTrip checks that random loads survive encoding and decoding unchanged.
-func TestLoadArrivesAsItWas(t *testing.T) {
+func TestLoadRoundTrip(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		is := is.New(t)
 		load := shard.Load{
@@ -69,7 +69,7 @@
 
 // TestEncodedLoadSize limits the bytes per worker in a load, which the instance controller
 // receives five times a second.
-func TestLoadIsSmallOnTheWire(t *testing.T) {
+func TestEncodedLoadSize(t *testing.T) {
 	const workers = 145
 	is := is.New(t)
 	load := shard.Load{
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -13,14 +13,14 @@
 const (
 	// minPackSize is the minimum size in bytes of a value that is compressed. The values above
 	// it are configurations, which all entries request at the same moment after a change.
-	packFrom = 1024
+	minPackSize = 1024
 
 	// maxPackedValues is the maximum number of cached compressed values.
-	packedMost = 16
+	maxPackedValues = 16
 
 	// maxUnpackedSize is the maximum size in bytes of a decompressed value. Rows of the store
 	// are smaller.
-	unpackedMost = maxBody
+	maxUnpackedSize = maxBody
 )
 
 // packed caches compressed values, since many entries request the same ones.
@@ -36,7 +36,7 @@
 }
 
 // get returns the compressed value of a row, from the cache if possible.
-func (p *packed) of(row outside.Row) ([]byte, error) {
+func (p *packed) get(row outside.Row) ([]byte, error) {
 	key := packedKey{
 		key:     row.Key,
 		version: row.Version,
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("row %s of %s: %w", row.Key.Name, row.Key.Table, err)
 	}
-	if p.values == nil || len(p.values) >= packedMost {
+	if p.values == nil || len(p.values) >= maxPackedValues {
 		p.values = make(map[packedKey][]byte)
 	}
 	p.values[key] = value
@@ -74,13 +74,13 @@
 
 // unpack decompresses a value. It fails if the value is corrupt or exceeds maxUnpackedSize.
 func unpack(value []byte) ([]byte, error) {
-	limited := io.LimitReader(flate.NewReader(bytes.NewReader(value)), unpackedMost+1)
+	limited := io.LimitReader(flate.NewReader(bytes.NewReader(value)), maxUnpackedSize+1)
 	data, err := io.ReadAll(limited)
 	if err != nil {
 		return nil, fmt.Errorf("decompressing: %w", err)
 	}
-	if len(data) > unpackedMost {
-		return nil, fmt.Errorf("decompressing: more than %d bytes", unpackedMost)
+	if len(data) > maxUnpackedSize {
+		return nil, fmt.Errorf("decompressing: more than %d bytes", maxUnpackedSize)
 	}
 	return data, nil
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -46,18 +46,18 @@
 func (s *Server) Routes(router *gin.Engine) {
 	router.GET(pathChanges, s.changes)
 	router.GET(pathPing, s.ping)
-	router.POST(pathSubmit, s.holding(s.submit))
-	router.GET(pathState, s.owned(s.state))
-	router.GET(pathPending, s.owned(s.pending))
-	router.POST(pathLoad, s.owned(s.load))
-	router.POST(pathLoadCompact, s.owned(s.loadCompact))
-	router.POST(pathOffer, s.owned(s.offer))
-	router.POST(pathCancel, s.owned(s.cancel))
+	router.POST(pathSubmit, s.requireHeld(s.submit))
+	router.GET(pathState, s.requireOwned(s.state))
+	router.GET(pathPending, s.requireOwned(s.pending))
+	router.POST(pathLoad, s.requireOwned(s.load))
+	router.POST(pathLoadCompact, s.requireOwned(s.loadCompact))
+	router.POST(pathOffer, s.requireOwned(s.offer))
+	router.POST(pathCancel, s.requireOwned(s.cancel))
 }
 
 // requireOwned wraps a handler. It answers 421 unless this entry owns the requested service and
 // has read its rows.
-func (s *Server) owned(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
+func (s *Server) requireOwned(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		duty, found := s.Duty(c.Query(queryService))
 		if !found {
@@ -84,7 +84,7 @@
 
 // exchangeLoad passes the directive of a request to the duty and returns the load of the duty. On
 // failure it writes the error status and returns false.
-func (s *Server) loadOf(c *gin.Context, duty *owner.Duty) (shard.Load, bool) {
+func (s *Server) exchangeLoad(c *gin.Context, duty *owner.Duty) (shard.Load, bool) {
 	var request loadRequest
 	if err := c.ShouldBindJSON(&request); err != nil {
 		c.String(http.StatusBadRequest, err.Error())
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -21,17 +21,17 @@
 	keptConns = 4
 
 	// callsAfterRecovery is the number of calls after the first one that is answered again.
-	callsAfter = 2 * keptConns
+	callsAfterRecovery = 2 * keptConns
 
 	// waitTimeout is far above the few seconds that the test takes on an idle computer.
-	patience = time.Minute
+	waitTimeout = time.Minute
 )
 
 // TestOnlyOneSilentConnectionIsUsed covers idle connections between entries that go silent for
 // good while new connections work. The client may wait on only one of them: an owner that is
 // alive must not miss three pings in a row, after which its successor checks whether it still
 // writes.
-func TestSilentConnectionsCostOneWait(t *testing.T) {
+func TestOnlyOneSilentConnectionIsUsed(t *testing.T) {
 	// The bodies of the answers by path.
 	load, err := peer.EncodeLoad(shard.Load{})
 	if err != nil {
@@ -83,7 +83,7 @@
 			}), keptConns)
 			defer server.Close()
 			client := peer.NewClient(nil)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			var warm errgroup.Group
 			for range keptConns {
@@ -94,7 +94,7 @@
 			for call(ctx, client, server) != nil {
 				is.NoErr(ctx.Err())
 			}
-			for range callsAfter {
+			for range callsAfterRecovery {
 				is.NoErr(call(ctx, client, server))
 			}
 			is.Equal(server.Used(), 1)
--- a/peer/submit.go
+++ b/peer/submit.go
@@ -18,43 +18,43 @@
 
 // Results of a submission.
 const (
-	resultLeft    result = "left"
-	resultOpen    result = "open"
-	resultRefused result = "refused"
-	resultTaken   result = "taken"
+	resultNotServing result = "left"
+	resultUncertain  result = "open"
+	resultRefused    result = "refused"
+	resultAccepted   result = "taken"
 )
 
 // result is the result of submitting one job.
 type result string
 
 // refusedAnswer is the body of an answer with status 429.
-type turnedAwayAnswer struct {
+type refusedAnswer struct {
 	// RetryAfterMillis is the delay after which the job may be submitted again, in milliseconds.
-	ComeBackMillis int64 `json:"come_back_ms"`
+	RetryAfterMillis int64 `json:"come_back_ms"`
 }
 
 // Submit submits a job to the owner of its service, and returns once the record of the job is
 // stored. A *outside.NotDoneError, a *NotOwnerError or a *owner.RefusedError means that the job
 // was not accepted.
 func (c *Client) Submit(ctx context.Context, to netip.AddrPort, service string, record shard.Record) error {
-	status, body, err := c.tell(ctx, submitTimeout, to, pathSubmit, url.Values{
+	status, body, err := c.callOnce(ctx, submitTimeout, to, pathSubmit, url.Values{
 		queryService: {service},
 	}, record.Encode())
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusConflict:
-		return notTaken()
+		return notAccepted()
 	case status == http.StatusTooManyRequests:
-		return turnedAway(service, body)
+		return refusedError(service, body)
 	default:
 		return nil
 	}
 }
 
 // refusedError decodes the answer of an owner that is overloaded.
-func turnedAway(service string, body []byte) error {
-	var answer turnedAwayAnswer
+func refusedError(service string, body []byte) error {
+	var answer refusedAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return &outside.NotDoneError{
 			Call:   pathSubmit,
@@ -62,31 +62,31 @@
 			Reason: err.Error(),
 		}
 	}
-	return &owner.TurnedAwayError{
-		Service:  service,
-		ComeBack: time.Duration(answer.ComeBackMillis) * time.Millisecond,
+	return &owner.RefusedError{
+		Service:    service,
+		RetryAfter: time.Duration(answer.RetryAfterMillis) * time.Millisecond,
 	}
 }
 
 // resultOf maps an error of owner.Duty.Submit to a result.
 func resultOf(err error) result {
 	var notServing *owner.NotServingError
-	var refused *owner.TurnedAwayError
+	var refused *owner.RefusedError
 	switch {
 	case errors.As(err, &refused):
 		return resultRefused
 	case err == nil:
-		return resultTaken
+		return resultAccepted
 	case errors.As(err, &notServing):
-		return resultLeft
+		return resultNotServing
 	case outside.IsNotDone(err):
 		return resultRefused
 	default:
-		return resultOpen
+		return resultUncertain
 	}
 }
 
-func notTaken() error {
+func notAccepted() error {
 	return &outside.NotDoneError{
 		Call:   pathSubmit,
 		Status: http.StatusConflict,
@@ -96,7 +96,7 @@
 
 // requireHeld wraps a handler. It answers 421 unless this entry owns the requested service. Unlike
 // requireOwned, it accepts calls while the rows of the service are being read.
-func (s *Server) holding(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
+func (s *Server) requireHeld(handle func(*gin.Context, *owner.Duty)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		duty, found := s.Held(c.Query(queryService))
 		if !found {
@@ -117,17 +117,17 @@
 	ctx, stop := context.WithTimeout(c.Request.Context(), submitTimeout)
 	defer stop()
 	err := duty.Submit(ctx, record)
-	var refused *owner.TurnedAwayError
+	var refused *owner.RefusedError
 	if errors.As(err, &refused) {
-		c.JSON(http.StatusTooManyRequests, turnedAwayAnswer{
-			ComeBackMillis: refused.ComeBack.Milliseconds(),
+		c.JSON(http.StatusTooManyRequests, refusedAnswer{
+			RetryAfterMillis: refused.RetryAfter.Milliseconds(),
 		})
 		return
 	}
 	switch resultOf(err) {
-	case resultTaken:
+	case resultAccepted:
 		c.Status(http.StatusNoContent)
-	case resultLeft:
+	case resultNotServing:
 		c.String(http.StatusMisdirectedRequest, err.Error())
 	case resultRefused:
 		c.String(http.StatusConflict, err.Error())
--- a/peer/submit_test.go
+++ b/peer/submit_test.go
@@ -27,7 +27,7 @@
 
 // TestSubmitReturnsResult submits jobs to an owner while it serves, while the store rejects its
 // writes, and after it has released the service.
-func TestJobIsAnsweredByWhatBecameOfIt(t *testing.T) {
+func TestSubmitReturnsResult(t *testing.T) {
 	is := is.New(t)
 	rows := standin.NewRows()
 	var rejecting atomic.Bool
@@ -93,15 +93,15 @@
 	}
 	decode := func(string, []byte) (outside.Registration, error) { return outside.Registration{}, nil }
 	keeper := owner.NewKeeper(owner.Deps{
-		Count:    func(string, string) {},
-		Clock:    clock.System(),
-		Group:    group,
-		Log:      log,
-		Table:    table,
-		Slow:     func() bool { return false },
-		Catalog:  func() *catalog.Catalog { return current },
-		Registry: owner.NewRegistry(table, clock.System(), "workers", decode, log),
-		Listed:   func(context.Context) ([]owner.Member, error) { return nil, nil },
+		Count:       func(string, string) {},
+		Clock:       clock.System(),
+		Group:       group,
+		Log:         log,
+		Table:       table,
+		Slow:        func() bool { return false },
+		Catalog:     func() *catalog.Catalog { return current },
+		Registry:    owner.NewRegistry(table, clock.System(), "workers", decode, log),
+		ListMembers: func(context.Context) ([]owner.Member, error) { return nil, nil },
 		Options: shard.Options{
 			Lease: time.Second,
 		},
--- a/place/faulty.go
+++ b/place/faulty.go
@@ -5,7 +5,7 @@
 // findFaulty finds jobs that fail on several workers and workers on which several
 // jobs fail. A failure counts against a job only if the worker is not faulty, and
 // against a worker only if the job has failed on no other worker.
-func (p Pool) blame(steps *Steps) {
+func (p Pool) findFaulty(steps *Steps) {
 	only := make(map[string]int)
 	for i := range p.Jobs {
 		job := &p.Jobs[i]
@@ -18,7 +18,7 @@
 	}
 	bad := make(map[string]bool)
 	for worker, count := range only {
-		if count >= blameWorkerAfter {
+		if count >= minFailedJobs {
 			bad[worker] = true
 			steps.TakeOut = append(steps.TakeOut, worker)
 		}
@@ -26,7 +26,7 @@
 	sort.Strings(steps.TakeOut)
 	for i := range p.Jobs {
 		job := &p.Jobs[i]
-		if len(job.LostOn) >= blameJobAfter {
+		if len(job.LostOn) >= minFailedWorkers {
 			steps.SetAside[job.ID] = ReasonLosesWorkers
 			continue
 		}
@@ -36,7 +36,7 @@
 				good++
 			}
 		}
-		if good >= blameJobAfter {
+		if good >= minFailedWorkers {
 			steps.SetAside[job.ID] = ReasonFails
 		}
 	}
--- a/place/place.go
+++ b/place/place.go
@@ -28,11 +28,11 @@
 	// that must end while they run it, before the job is set aside. Workers that are
 	// faulty themselves do not count as failures. Without this limit, a job that
 	// crashes its workers would take down the whole pool, one worker after the other.
-	blameJobAfter = 3
+	minFailedWorkers = 3
 
 	// minFailedJobs is the number of distinct jobs that must fail on a worker, and on
 	// no other worker, before the worker counts as faulty.
-	blameWorkerAfter = 3
+	minFailedJobs = 3
 
 	// protectAfter is the number of checkpoints after which a job is checkpointed
 	// again only if an urgent job would find no other place.
@@ -123,7 +123,7 @@
 		Start:    make(map[string]string),
 		SetAside: make(map[string]Reason),
 	}
-	p.blame(&steps)
+	p.findFaulty(&steps)
 	slots, byID := p.slots(steps.TakeOut)
 	filled := false
 	used := p.used()
@@ -131,7 +131,7 @@
 		if _, gone := steps.SetAside[job.ID]; gone {
 			continue
 		}
-		if !p.couldHold(job) {
+		if !p.fitsAnyWorker(job) {
 			steps.SetAside[job.ID] = ReasonNeverFits
 			continue
 		}
@@ -139,7 +139,7 @@
 		if bounded && !used[job.Team].plus(job.Size).within(quota) {
 			continue
 		}
-		chosen := best(slots, job)
+		chosen := bestFit(slots, job)
 		if chosen == nil && job.Urgent {
 			if !filled {
 				p.fillJobs(byID)
@@ -161,7 +161,7 @@
 // and observed peak usage. Observed usage replaces the declared size, plus an eighth
 // because usage is reported late. The result is at least a twentieth of the declared
 // size. Accelerators are always as declared.
-func Learn(declared, seen Size) Size {
+func EstimateSize(declared, seen Size) Size {
 	estimate := func(declared, seen int64) int64 {
 		if seen == 0 {
 			return declared
@@ -180,7 +180,7 @@
 // A job that lost a worker goes to the slot with the most free resources instead: if
 // it were packed with others and crashed its workers again, they would lose as many
 // workers as the job and be set aside as well.
-func best(slots []*slot, job *Job) *slot {
+func bestFit(slots []*slot, job *Job) *slot {
 	var chosen *slot
 	var minLeft float64
 	for _, s := range slots {
@@ -200,7 +200,7 @@
 }
 
 // fitsAnyWorker reports whether the job fits on at least one worker when it is empty.
-func (p Pool) couldHold(job *Job) bool {
+func (p Pool) fitsAnyWorker(job *Job) bool {
 	for _, worker := range p.Workers {
 		if job.Size.within(worker.Size) {
 			return true
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -174,13 +174,13 @@
 func TestLearnTrustsUsage(t *testing.T) {
 	is := is.New(t)
 	declared := size(8, 1)
-	is.Equal(place.Learn(declared, place.Size{}), declared) // No usage observed.
-	is.Equal(place.Learn(declared, size(16, 0)).Milliprocessors, int64(18_000))
-	is.Equal(place.Learn(declared, place.Size{
+	is.Equal(place.EstimateSize(declared, place.Size{}), declared) // No usage observed.
+	is.Equal(place.EstimateSize(declared, size(16, 0)).Milliprocessors, int64(18_000))
+	is.Equal(place.EstimateSize(declared, place.Size{
 		Milliprocessors: 1,
 		Memory:          1,
 	}).Milliprocessors, int64(400))
-	is.Equal(place.Learn(declared, size(16, 0)).Accelerators, int64(1)) // Accelerators are assigned whole.
+	is.Equal(place.EstimateSize(declared, size(16, 0)).Accelerators, int64(1)) // Accelerators are assigned whole.
 }
 
 // TestPoolMachine simulates a pool: no worker is overcommitted, no job starts
--- a/pool/backlog_test.go
+++ b/pool/backlog_test.go
@@ -12,7 +12,7 @@
 // newOverloadedFleet returns a fleet at the change from a demand burst of service a to one of
 // service b. All instances of a are busy, and its backlog needs ten times as many. If late is
 // set, the work of a can no longer end in time.
-func turnsWithMoreWorkThanRoom(late bool) *fleet {
+func newOverloadedFleet(late bool) *fleet {
 	f := newFleet(map[string]int{
 		"a": 60,
 		"b": 6,
@@ -35,9 +35,9 @@
 
 // TestLateBacklogReleasesInstances checks that work that can no longer end in time does not
 // hold instances that another service needs for work that can.
-func TestLateBacklogGivesInstancesToTheNextTurn(t *testing.T) {
+func TestLateBacklogReleasesInstances(t *testing.T) {
 	is := is.New(t)
-	f := turnsWithMoreWorkThanRoom(true)
+	f := newOverloadedFleet(true)
 	plan := f.plan()
 	is.True(plan.Counts["b"] >= 30)
 	is.True(plan.Counts["a"] >= 3) // Service a keeps its minimum.
@@ -45,9 +45,9 @@
 
 // TestTimelyBacklogSharesInstances covers two services that could each use every instance:
 // both get some.
-func TestBacklogThatCanEndInTimeSharesInstances(t *testing.T) {
+func TestTimelyBacklogSharesInstances(t *testing.T) {
 	is := is.New(t)
-	f := turnsWithMoreWorkThanRoom(false)
+	f := newOverloadedFleet(false)
 	plan := f.plan()
 	is.True(plan.Counts["a"] > plan.Counts["b"])
 	is.True(plan.Counts["b"] >= 3)
@@ -56,9 +56,9 @@
 // TestLateBacklogTakesOnlyUnneededInstances covers a late backlog of one service while the other
 // has little demand. The late backlog takes none of the instances that the other service keeps
 // for its next jobs.
-func TestLateBacklogTakesOnlyWhatNobodyWants(t *testing.T) {
+func TestLateBacklogTakesOnlyUnneededInstances(t *testing.T) {
 	is := is.New(t)
-	f := turnsWithMoreWorkThanRoom(true)
+	f := newOverloadedFleet(true)
 	b := f.service("b")
 	b.Load = shard.Load{
 		Used:    cpu(5 * 16),
@@ -71,7 +71,7 @@
 
 // TestLateBacklogWakesInstances covers a service whose whole backlog is late while sleeping
 // instances are available.
-func TestLateWorkStillGetsSleepingInstances(t *testing.T) {
+func TestLateBacklogWakesInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    4,
--- a/pool/evacuation_test.go
+++ b/pool/evacuation_test.go
@@ -24,7 +24,7 @@
 
 // TestInstancesInEvacuatedZoneAreNotWoken covers a service that needs instances while half of
 // the sleeping ones are in an evacuated availability zone.
-func TestPoolsTakeNoInstanceOfAnEvacuatedZone(t *testing.T) {
+func TestInstancesInEvacuatedZoneAreNotWoken(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    3,
@@ -42,7 +42,7 @@
 
 // TestEvacuatedInstancesAreReplaced covers a service with instances in an availability zone that
 // is evacuated. These instances no longer count as its own, even if tasks still run there.
-func TestRoomIsOrderedForWhatAnEvacuatedZoneHeld(t *testing.T) {
+func TestEvacuatedInstancesAreReplaced(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    10,
@@ -59,5 +59,5 @@
 	}
 	// Tasks that run in the evacuated zone are left to finish.
 	is.Equal(len(plan.Closed["a"]), 0)
-	is.True(plan.Most["a"] <= 28-3)
+	is.True(plan.MaxInstances["a"] <= 28-3)
 }
--- a/pool/labels.go
+++ b/pool/labels.go
@@ -10,20 +10,20 @@
 	if service.Asleep || !service.Known {
 		return
 	}
-	for _, label := range r.labels(service) {
-		candidates := r.offerTo(service.Name, label)
-		for r.labelled(service.Name, label) < r.wanted(service, label) {
+	for _, label := range r.requiredLabels(service) {
+		candidates := r.candidatesFor(service.Name, label)
+		for r.countLabelled(service.Name, label) < r.neededForLabel(service, label) {
 			sp := candidates.next()
 			if sp == nil {
 				break
 			}
-			r.send(sp, service.Name)
+			r.reassign(sp, service.Name)
 		}
 	}
 }
 
 // requiredLabels returns the labels that a service's tasks require, sorted.
-func (r *round) labels(service *Service) []string {
+func (r *round) requiredLabels(service *Service) []string {
 	var list []string
 	for label := range service.Load.Labelled {
 		list = append(list, label)
@@ -41,7 +41,7 @@
 // countLabelled counts the instances with the label that are in the pool or on their way to it.
 // Instances that are closed for maintenance or in an evacuated availability zone do not count.
 // The result is cached in labelCounts.
-func (r *round) labelled(pool, label string) int {
+func (r *round) countLabelled(pool, label string) int {
 	key := poolLabel{
 		pool:  pool,
 		label: label,
@@ -50,9 +50,9 @@
 		return count
 	}
 	count := 0
-	for _, sp := range r.spots {
+	for _, sp := range r.instances {
 		leaving := sp.closed && sp.to == ""
-		if sp.target() == pool && sp.carries(label) && !leaving && !sp.evacuated {
+		if sp.target() == pool && sp.hasLabel(label) && !leaving && !sp.evacuated {
 			count++
 		}
 	}
@@ -64,8 +64,8 @@
 }
 
 // neededForLabel returns how many instances with the label a service needs, at least one.
-func (r *round) wanted(service *Service, label string) int {
-	each := r.room(service.Name)
+func (r *round) neededForLabel(service *Service, label string) int {
+	each := r.meanCapacity(service.Name)
 	need := service.Load.Labelled[label]
 	count := 1
 	if each.MilliCPU > 0 {
@@ -79,13 +79,13 @@
 
 // isNeededForLabel reports whether the instance has a label of which its service has no more
 // instances than it needs.
-func (r *round) kept(sp *spot) bool {
+func (r *round) isNeededForLabel(sp *instanceState) bool {
 	service, found := r.services[sp.pool]
 	if !found {
 		return false
 	}
 	for label := range service.Load.Labelled {
-		if sp.carries(label) && r.labelled(sp.pool, label) <= r.wanted(service, label) {
+		if sp.hasLabel(label) && r.countLabelled(sp.pool, label) <= r.neededForLabel(service, label) {
 			return true
 		}
 	}
@@ -94,14 +94,14 @@
 
 // isIrreplaceable reports whether the instance has a label that its service needs and no other
 // instance can be moved in for it. The tasks on such an instance would have nowhere to go.
-func (r *round) irreplaceable(sp *spot) bool {
+func (r *round) isIrreplaceable(sp *instanceState) bool {
 	service, found := r.services[sp.pool]
 	if !found {
 		return false
 	}
 	for label := range service.Load.Labelled {
-		scarce := sp.carries(label) && r.labelled(sp.pool, label) <= r.wanted(service, label)
-		if scarce && r.offerTo(sp.pool, label).next() == nil {
+		scarce := sp.hasLabel(label) && r.countLabelled(sp.pool, label) <= r.neededForLabel(service, label)
+		if scarce && r.candidatesFor(sp.pool, label).next() == nil {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // hasLabel reports whether the instance has the label. Every instance has the empty label.
-func (sp *spot) carries(label string) bool {
+func (sp *instanceState) hasLabel(label string) bool {
 	if label == "" {
 		return true
 	}
--- a/pool/large_bench_test.go
+++ b/pool/large_bench_test.go
@@ -4,7 +4,7 @@
 
 // BenchmarkPlanLargeFleet plans for 6,000 instances. In "shrinks" most awake instances are no
 // longer needed; in "grows" a service needs some hundreds of the sleeping ones.
-func BenchmarkPlanOfALargeFleet(b *testing.B) {
+func BenchmarkPlanLargeFleet(b *testing.B) {
 	for name, counts := range map[string]map[string]int{
 		"shrinks": {"a": 2500, "b": 2500, asleep: 1000},
 		"grows":   {"a": 100, "b": 100, asleep: 5800},
--- a/pool/maintain.go
+++ b/pool/maintain.go
@@ -19,10 +19,10 @@
 // or closed at a time.
 func (r *round) maintainWave(wave *Wave) {
 	down := 0
-	var remaining []*spot
+	var remaining []*instanceState
 	closing := make(map[string]int)
 	members := wave.members()
-	for _, sp := range r.spots {
+	for _, sp := range r.instances {
 		if !members[sp.instance.ID] {
 			continue
 		}
@@ -36,14 +36,14 @@
 		}
 	}
 	sort.SliceStable(remaining, func(i, j int) bool {
-		return r.trouble(remaining[i]) < r.trouble(remaining[j])
+		return r.disruptionCost(remaining[i]) < r.disruptionCost(remaining[j])
 	})
-	late := r.view.Now.Sub(wave.Seen) > time.Duration((1-hurryShare)*float64(wave.Within))
+	late := r.view.Now.Sub(wave.Seen) > time.Duration((1-reservedTimeShare)*float64(wave.Within))
 	for _, sp := range remaining {
 		if down >= wave.AtOnce {
 			return
 		}
-		awake := sp.pool != r.asleep
+		awake := sp.pool != r.sleepingPool
 		if awake && !r.mayClose(sp, closing, late) {
 			continue
 		}
@@ -57,7 +57,7 @@
 				r.count[sp.pool]--
 			}
 			r.plan.Closed[sp.pool] = append(r.plan.Closed[sp.pool], sp.instance.Worker)
-			if !sp.empty() {
+			if !sp.isEmpty() {
 				down++
 				continue
 			}
@@ -75,20 +75,20 @@
 // mayClose reports whether an awake instance may be closed for maintenance. Unless the pool has
 // more instances than its target or the wave is late, at most maxMaintenanceShare of the pool,
 // but at least one instance, is closed at a time.
-func (r *round) mayClose(sp *spot, closing map[string]int, late bool) bool {
-	if !sp.known || sp.load.Draining || r.irreplaceable(sp) {
+func (r *round) mayClose(sp *instanceState, closing map[string]int, late bool) bool {
+	if !sp.known || sp.load.Draining || r.isIrreplaceable(sp) {
 		return false
 	}
 	if late || r.count[sp.pool] > r.plan.Targets[sp.pool] {
 		return true
 	}
-	return float64(closing[sp.pool]) < max(1, maintainShare*float64(r.count[sp.pool]))
+	return float64(closing[sp.pool]) < max(1, maxMaintenanceShare*float64(r.count[sp.pool]))
 }
 
 // disruptionCost returns how much the maintenance of the instance disrupts: 0 for a sleeping
 // instance, more than 0 for an awake one.
-func (r *round) trouble(sp *spot) int {
-	if sp.pool == r.asleep {
+func (r *round) disruptionCost(sp *instanceState) int {
+	if sp.pool == r.sleepingPool {
 		return 0
 	}
 	return 1 + sp.cost()
--- a/pool/offer.go
+++ b/pool/offer.go
@@ -7,31 +7,31 @@
 // instances, then other awake instances. An instance that can't be moved now can't be moved
 // later in the same plan either, because its pool only shrinks and the need of the service only
 // becomes less urgent. Each instance is therefore checked once, however many are moved.
-type offer struct {
+type candidates struct {
 	round *round
 	to    string
 
-	leaving  []*spot
-	sleeping []*spot
-	awake    []*spot
+	leaving  []*instanceState
+	sleeping []*instanceState
+	awake    []*instanceState
 }
 
 // candidatesFor returns the instances with the label that may be moved to a service. The empty
 // label matches every instance.
-func (r *round) offerTo(to, label string) *offer {
-	c := &offer{
+func (r *round) candidatesFor(to, label string) *candidates {
+	c := &candidates{
 		round: r,
 		to:    to,
 	}
-	for _, sp := range r.spots {
-		if !r.movable(sp, to) || !sp.carries(label) {
+	for _, sp := range r.instances {
+		if !r.movable(sp, to) || !sp.hasLabel(label) {
 			continue
 		}
-		if sp.pool == r.asleep {
+		if sp.pool == r.sleepingPool {
 			c.sleeping = append(c.sleeping, sp)
 			continue
 		}
-		if sp.empty() {
+		if sp.isEmpty() {
 			c.leaving = append(c.leaving, sp)
 		}
 		c.awake = append(c.awake, sp)
@@ -41,19 +41,19 @@
 }
 
 // next returns the candidate whose move costs the least, or nil if none is left.
-func (c *offer) next() *spot {
-	if sp := c.first(&c.leaving, func(sp *spot) bool { return c.canSpare(sp) && c.hasTooMany(sp) }); sp != nil {
+func (c *candidates) next() *instanceState {
+	if sp := c.firstUsable(&c.leaving, func(sp *instanceState) bool { return c.canSpare(sp) && c.hasTooMany(sp) }); sp != nil {
 		return sp
 	}
-	if sp := c.first(&c.sleeping, func(*spot) bool { return true }); sp != nil {
+	if sp := c.firstUsable(&c.sleeping, func(*instanceState) bool { return true }); sp != nil {
 		return sp
 	}
-	return c.first(&c.awake, c.canSpare)
+	return c.firstUsable(&c.awake, c.canSpare)
 }
 
 // firstUsable returns the first instance of a group that can be moved, and drops those before
 // it from the group. It returns nil if there is none.
-func (c *offer) first(group *[]*spot, usable func(*spot) bool) *spot {
+func (c *candidates) firstUsable(group *[]*instanceState, usable func(*instanceState) bool) *instanceState {
 	for len(*group) > 0 {
 		sp := (*group)[0]
 		if c.round.movable(sp, c.to) && usable(sp) {
@@ -65,18 +65,18 @@
 }
 
 // canSpare reports whether the pool of an awake instance has more instances than it retains.
-func (c *offer) canSpare(sp *spot) bool {
-	return c.round.count[sp.pool] > c.round.keeps(sp.pool, c.to)
+func (c *candidates) canSpare(sp *instanceState) bool {
+	return c.round.count[sp.pool] > c.round.retainedCount(sp.pool, c.to)
 }
 
 // hasTooMany reports whether the pool of an awake instance is above its target.
-func (c *offer) hasTooMany(sp *spot) bool {
+func (c *candidates) hasTooMany(sp *instanceState) bool {
 	return c.round.count[sp.pool] > c.round.plan.Targets[sp.pool]
 }
 
 // sortByCost sorts awake instances by the cost of emptying them. The sort is stable.
-func sortByCost(list []*spot) {
-	costs := make(map[*spot]int, len(list))
+func sortByCost(list []*instanceState) {
+	costs := make(map[*instanceState]int, len(list))
 	for _, sp := range list {
 		costs[sp] = sp.cost()
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -16,7 +16,7 @@
 const (
 	// minInstances is the minimum number of awake instances of a service. If one is lost
 	// with its rack, the others can still take new work at once.
-	floorInstances = 3
+	minInstances = 3
 
 	// DefaultMoveCost is the default of Options.MoveCost: about half of the time for which a
 	// move takes an instance out of service.
@@ -39,7 +39,7 @@
 
 	// needMarginShare is the share by which the current need of a service is raised. The
 	// service keeps this margin even when others lack instances.
-	needShare = 0.05
+	needMarginShare = 0.05
 
 	// headroomShare is the share by which the target exceeds the demand of a service.
 	headroomShare = 0.10
@@ -54,18 +54,18 @@
 
 	// maxOrderDelay is how long after it was sent an order without an answer may still be
 	// carried out. The platform states 2 to 12 s.
-	lateMost = 13 * time.Second
+	maxOrderDelay = 13 * time.Second
 
 	// retryInterval is the time before a failed or unanswered order is retried.
-	retryPause = 500 * time.Millisecond
+	retryInterval = 500 * time.Millisecond
 
 	// maxMaintenanceShare is the maximum share of a pool's awake instances that are closed for
 	// maintenance at one time, unless the wave is late.
-	maintainShare = 0.25
+	maxMaintenanceShare = 0.25
 
 	// reservedTimeShare is the share of a wave's time that is held in reserve. Once the rest
 	// has passed, the wave is late and as many instances are closed as it allows.
-	hurryShare = 0.4
+	reservedTimeShare = 0.4
 )
 
 // Service is a pool with the load that its owner reports.
@@ -131,7 +131,7 @@
 
 	// MaxInstances maps a service to the number of instances it could have: all except those
 	// that other services need for work that can still meet its deadline, and their minimums.
-	Most map[string]int
+	MaxInstances map[string]int
 }
 
 // Options holds the times and costs that a Sizer plans with.
@@ -179,17 +179,17 @@
 
 // order is an order that was sent for an instance: a maintenance if wave is set, else a move.
 type order struct {
-	at     time.Time
-	from   string
-	to     string
-	worker outside.Incarnation
-	wave   int64
+	orderedAt time.Time
+	from      string
+	to        string
+	worker    outside.Incarnation
+	wave      int64
 
 	// uncertain says that the order got no answer: it may have been carried out already, or may
 	// be later. The order is idempotent and is repeated until an attempt is answered.
 	// lastTriedAt is the time of the last attempt.
-	unsure bool
-	tried  time.Time
+	uncertain   bool
+	lastTriedAt time.Time
 }
 
 // NewSizer returns a Sizer without recorded demand or orders.
@@ -206,11 +206,11 @@
 
 // Plan computes the plan for the given view and records the demand that it shows.
 func (s *Sizer) Plan(v View) Plan {
-	s.settle(v)
+	s.dropSettled(v)
 	r := newRound(s, v)
-	r.guard()
-	r.repeat()
-	r.targets()
+	r.keepClosed()
+	r.retryUncertain()
+	r.computeTargets()
 	r.maintain()
 	r.grow()
 	r.shrink()
@@ -227,27 +227,27 @@
 // Ordered records an order that was answered with success.
 func (s *Sizer) Ordered(instance, to string, worker outside.Incarnation, wave int64, now time.Time) {
 	s.ordered[instance] = order{
-		at:     now,
-		to:     to,
-		worker: worker,
-		wave:   wave,
+		orderedAt: now,
+		to:        to,
+		worker:    worker,
+		wave:      wave,
 	}
 }
 
 // Uncertain records that an order got no answer.
-func (s *Sizer) Unsure(instance, from, to string, worker outside.Incarnation, wave int64, now time.Time) {
+func (s *Sizer) Uncertain(instance, from, to string, worker outside.Incarnation, wave int64, now time.Time) {
 	o, found := s.ordered[instance]
-	if !found || !o.unsure {
+	if !found || !o.uncertain {
 		o = order{
-			at:     now,
-			from:   from,
-			to:     to,
-			worker: worker,
-			wave:   wave,
-			unsure: true,
+			orderedAt: now,
+			from:      from,
+			to:        to,
+			worker:    worker,
+			wave:      wave,
+			uncertain: true,
 		}
 	}
-	o.tried = now
+	o.lastTriedAt = now
 	s.ordered[instance] = o
 }
 
@@ -255,13 +255,13 @@
 // moved to that pool. If an earlier attempt got no answer and permanent is false, the order stays
 // uncertain, because the earlier attempt may still take effect.
 func (s *Sizer) Refused(instance, to string, permanent bool, now time.Time) {
-	if o := s.ordered[instance]; o.unsure && !permanent {
-		o.tried = now
+	if o := s.ordered[instance]; o.uncertain && !permanent {
+		o.lastTriedAt = now
 		s.ordered[instance] = o
 		return
 	}
 	delete(s.ordered, instance)
-	s.notBefore[instance] = now.Add(retryPause)
+	s.notBefore[instance] = now.Add(retryInterval)
 	if permanent && to != "" {
 		if s.refused[instance] == nil {
 			s.refused[instance] = make(map[string]bool)
@@ -272,14 +272,14 @@
 
 // dropSettled drops orders that the instance list shows as done, orders that are too old, and
 // orders for instances that are no longer listed.
-func (s *Sizer) settle(v View) {
+func (s *Sizer) dropSettled(v View) {
 	listed := make(map[string]outside.Instance, len(v.Instances))
 	for _, m := range v.Instances {
 		listed[m.ID] = m
 	}
 	for id, o := range s.ordered {
 		m, found := listed[id]
-		age := v.Now.Sub(o.at)
+		age := v.Now.Sub(o.orderedAt)
 		downtime := s.opts.MoveTime
 		if o.wave > 0 {
 			downtime = s.opts.MaintainTime
@@ -287,11 +287,11 @@
 		// A changed worker shows that the instance is back. A sleeping instance has no worker:
 		// its return after an answered order is recognized by the elapsed time alone. A worker
 		// that restarts under the same ID is recognized only when the order is too old.
-		another := m.Worker != o.worker.Worker || (m.Worker == "" && !o.unsure)
+		another := m.Worker != o.worker.Worker || (m.Worker == "" && !o.uncertain)
 		back := m.State == outside.InstanceUp && another && age > downtime
 		forget := downtime + settleSlack
-		if o.unsure {
-			forget = downtime + lateMost
+		if o.uncertain {
+			forget = downtime + maxOrderDelay
 		}
 		if !found || back || age > forget {
 			delete(s.ordered, id)
@@ -306,7 +306,7 @@
 // with more work than capacity. If the whole backlog counted, the first service would keep the
 // instances that the next ones need: late work worth 340 instances held 60 of 102 instances for
 // 20 s, while the services with current bursts had 30 between them.
-func (s *Sizer) note(service Service, each job.Room, now time.Time) (wanted, needed int) {
+func (s *Sizer) recordDemand(service Service, each job.Room, now time.Time) (wanted, needed int) {
 	load := service.Load
 	need := load.Used.Add(load.Waiting)
 	instances := instancesFor(need, load.Coming, each)
@@ -331,9 +331,9 @@
 			timelyRise = max(0, timely-one.timely) * ahead
 		}
 	}
-	floor := max(floorInstances, load.Spread+1)
+	floor := max(minInstances, load.Spread+1)
 	wanted = int(math.Ceil(max(high, instances+rise) * (1 + headroomShare)))
-	needed = int(math.Ceil((timely + timelyRise) * (1 + needShare)))
+	needed = int(math.Ceil((timely + timelyRise) * (1 + needMarginShare)))
 	return max(wanted, floor), max(needed, floor)
 }
 
@@ -345,7 +345,7 @@
 }
 
 // sortByID sorts instances by ID, so that plans are deterministic.
-func byName(list []*spot) {
+func sortByID(list []*instanceState) {
 	sort.Slice(list, func(i, j int) bool {
 		return list[i].instance.ID < list[j].instance.ID
 	})
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -15,13 +15,13 @@
 
 const asleep = "asleep"
 
-var each = job.Room{
+var instanceCapacity = job.Room{
 	MilliCPU: 16_000,
 	MemoryMB: 32_000,
 }
 
 // sizerOptions returns the options of a sizer for which a move takes the given time.
-func sizing(move time.Duration) pool.Options {
+func sizerOptions(move time.Duration) pool.Options {
 	return pool.Options{
 		MoveTime:     move,
 		MaintainTime: 2 * time.Second,
@@ -37,7 +37,7 @@
 
 func newFleet(counts map[string]int) *fleet {
 	f := &fleet{
-		sizer: pool.NewSizer(sizing(1500 * time.Millisecond)),
+		sizer: pool.NewSizer(sizerOptions(1500 * time.Millisecond)),
 	}
 	f.view.Now = time.UnixMilli(1_000_000)
 	for _, name := range []string{"a", "b", asleep} {
@@ -52,7 +52,7 @@
 				ID:       fmt.Sprintf("%s%02d", name, i),
 				Pool:     name,
 				State:    outside.InstanceUp,
-				Capacity: each,
+				Capacity: instanceCapacity,
 			}
 			if name != asleep {
 				m.Worker = "w-" + m.ID
@@ -131,7 +131,7 @@
 	is.Equal(len(plan.Moves), 0)
 }
 
-func TestClosingIsNotPassedOn(t *testing.T) {
+func TestClosedWorkerStaysClosed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a": 4,
@@ -170,7 +170,7 @@
 
 // TestReducedCapacityWakesInstances covers a service whose workers report half of their former
 // capacity while the list of instances still shows the original one.
-func TestShrunkRoomWakesInstances(t *testing.T) {
+func TestReducedCapacityWakesInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    10,
@@ -179,13 +179,13 @@
 	f.service("a").Load.Used = cpu(8 * 16)
 	before := f.plan().Targets["a"]
 	f.service("a").Load.Room = job.Room{
-		MilliCPU: each.MilliCPU / 2,
-		MemoryMB: each.MemoryMB / 2,
+		MilliCPU: instanceCapacity.MilliCPU / 2,
+		MemoryMB: instanceCapacity.MemoryMB / 2,
 	}
 	is.Equal(f.plan().Targets["a"], 2*before)
 }
 
-func TestServicePastItsPeakGivesInstances(t *testing.T) {
+func TestServicePastPeakReleasesInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a": 20,
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestWaveKeepsToItsBound(t *testing.T) {
+func TestWaveRespectsLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    3,
@@ -244,7 +244,7 @@
 	is.Equal(len(plan.Closed), 0)
 }
 
-func TestServiceOnTheRiseGivesNoInstances(t *testing.T) {
+func TestServiceWithRisingDemandKeepsInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    20,
@@ -269,7 +269,7 @@
 
 // TestUnpolledWorkerIsNotEmpty covers a new owner of a service, which reports no runs on a worker
 // before its first poll.
-func TestWorkerThatWasNotLookedAtIsNotEmpty(t *testing.T) {
+func TestUnpolledWorkerIsNotEmpty(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a": 8,
@@ -300,7 +300,7 @@
 	}
 }
 
-func TestLabelledTasksWakeInstancesThatCarryIt(t *testing.T) {
+func TestLabelledTasksWakeLabelledInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    4,
@@ -320,7 +320,7 @@
 	is.Equal(plan.Moves[0].Instance, asleep+"04")
 }
 
-func TestOnlyInstanceOfLabelIsNotClosed(t *testing.T) {
+func TestOnlyInstanceWithLabelIsNotClosed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    3,
@@ -351,7 +351,7 @@
 // TestUnansweredOrderIsRepeated covers an unanswered order, which may take effect seconds later.
 // Until a repetition is answered, the order counts as in progress, also against the limit of its
 // wave.
-func TestOrderWithoutAnswerIsGivenAgain(t *testing.T) {
+func TestUnansweredOrderIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    3,
@@ -373,7 +373,7 @@
 	f.view.Waves = []*pool.Wave{wave}
 	first := f.plan().Maintenances
 	is.Equal(len(first), 1)
-	f.sizer.Unsure(first[0].Instance, first[0].Pool, "", first[0].Worker, first[0].Wave, f.view.Now)
+	f.sizer.Uncertain(first[0].Instance, first[0].Pool, "", first[0].Worker, first[0].Wave, f.view.Now)
 	repeated := 0
 	for i := 0; i < 50; i++ { // 10 s, within which the order may still take effect.
 		for _, m := range f.plan().Maintenances {
@@ -392,7 +392,7 @@
 
 // TestScarcityKeepsInstancesForSpreadTasks covers a demand peak that exceeds the fleet while a
 // service has long-running tasks of which no two may share a worker.
-func TestScarcityLeavesRoomForTasksThatMustNotShareAWorker(t *testing.T) {
+func TestScarcityKeepsInstancesForSpreadTasks(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    8,
@@ -406,7 +406,7 @@
 	}
 }
 
-func TestInstanceThatIsDownIsReplaced(t *testing.T) {
+func TestDownInstanceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    8,
@@ -424,7 +424,7 @@
 // TestDemandIsExtrapolatedOverMoveTime lets demand rise by the same steps where a move takes 0.8,
 // 1.5 and 3 s. An instance that is ordered now arrives after that time and has to meet the demand
 // at that moment.
-func TestRiseIsFollowedAheadForAsLongAsAMoveTakes(t *testing.T) {
+func TestDemandIsExtrapolatedOverMoveTime(t *testing.T) {
 	is := is.New(t)
 	targets := make([]int, 0, 3)
 	for _, move := range []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
@@ -433,7 +433,7 @@
 			"b":    3,
 			asleep: 90,
 		})
-		f.sizer = pool.NewSizer(sizing(move))
+		f.sizer = pool.NewSizer(sizerOptions(move))
 		target := 0
 		for step := range 4 {
 			// 40 cores more in each round of 200 ms, that is 200 cores a second.
@@ -449,7 +449,7 @@
 // TestDemandBurstIsFollowedAndReleasedQuickly covers demand bursts of a few seconds. Pools reacted
 // to a burst only in its fourth round and held its peak for half as long as the burst had lasted,
 // while instances were idle.
-func TestTurnOfDemandIsFollowedSoonAndLetGoSoon(t *testing.T) {
+func TestDemandBurstIsFollowedAndReleasedQuickly(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    3,
--- a/pool/round.go
+++ b/pool/round.go
@@ -15,15 +15,15 @@
 
 	// longRunningCost is the cost of a long-running task, which has to be moved and is
 	// unavailable for about a second.
-	lastingCost = 10
+	longRunningCost = 10
 
 	// openPenalty is the cost of a worker that would have to be closed first. It is higher
 	// than the cost of a few seconds of work.
-	closedBonus = 100
+	openPenalty = 100
 )
 
 // instanceState is the state of an instance within a round.
-type spot struct {
+type instanceState struct {
 	instance outside.Instance
 
 	// pool is the pool that the instance is in or is being moved to.
@@ -48,14 +48,14 @@
 
 // round holds the state while one plan is made.
 type round struct {
-	sizer *Sizer
-	view  View
-	plan  Plan
-	spots []*spot
+	sizer     *Sizer
+	view      View
+	plan      Plan
+	instances []*instanceState
 
 	// sleepingPool is the name of the pool whose instances are off, empty if there is none.
-	asleep   string
-	services map[string]*Service
+	sleepingPool string
+	services     map[string]*Service
 
 	// needs holds how many instances each service can't spare now.
 	needs map[string]int
@@ -85,14 +85,14 @@
 		service := &v.Services[i]
 		r.services[service.Name] = service
 		if service.Asleep {
-			r.asleep = service.Name
+			r.sleepingPool = service.Name
 		}
 	}
 	for _, m := range v.Instances {
-		r.spots = append(r.spots, r.spot(m))
+		r.instances = append(r.instances, r.instanceState(m))
 	}
-	byName(r.spots)
-	for _, sp := range r.spots {
+	sortByID(r.instances)
+	for _, sp := range r.instances {
 		// An instance that is down runs nothing for an unknown time.
 		if sp.instance.State != outside.InstanceDown && !sp.evacuated {
 			r.count[sp.pool]++
@@ -104,8 +104,8 @@
 	return r
 }
 
-func (r *round) spot(m outside.Instance) *spot {
-	sp := &spot{
+func (r *round) instanceState(m outside.Instance) *instanceState {
+	sp := &instanceState{
 		instance: m,
 		pool:     m.Pool,
 		free:     m.State == outside.InstanceUp && !r.view.Now.Before(r.sizer.notBefore[m.ID]),
@@ -127,7 +127,7 @@
 
 // computeTargets computes how many instances each service should have. A service with unknown
 // load keeps what it has.
-func (r *round) targets() {
+func (r *round) computeTargets() {
 	for i := range r.view.Services {
 		service := r.view.Services[i]
 		if service.Asleep {
@@ -138,16 +138,16 @@
 			r.needs[service.Name] = r.count[service.Name]
 			continue
 		}
-		wanted, needed := r.sizer.note(service, r.room(service.Name), r.view.Now)
+		wanted, needed := r.sizer.recordDemand(service, r.meanCapacity(service.Name), r.view.Now)
 		r.plan.Targets[service.Name] = wanted
 		r.needs[service.Name] = needed
 	}
-	r.share()
+	r.limitNeeds()
 }
 
 // limitNeeds reduces the needs to the available instances, in proportion to what each service
 // needs above its floor.
-func (r *round) share() {
+func (r *round) limitNeeds() {
 	sum := 0
 	floors := 0
 	for name, need := range r.needs {
@@ -168,26 +168,26 @@
 // floor returns how many instances a service keeps even when others lack some. It covers tasks
 // that must not share a worker, which need an instance each.
 func (r *round) floor(name string) int {
-	return max(floorInstances, r.services[name].Load.Spread+1)
+	return max(minInstances, r.services[name].Load.Spread+1)
 }
 
 // meanCapacity returns the mean capacity of a service's instances, or of all instances if it has
 // none. The capacity that the workers report takes precedence: it may be smaller than the listed
 // one, and a service whose workers have half of it needs twice as many instances.
-func (r *round) room(service string) job.Room {
+func (r *round) meanCapacity(service string) job.Room {
 	if reported := r.services[service].Load.Room; reported.MilliCPU > 0 {
 		return reported
 	}
 	var sum job.Room
 	count := 0
-	for _, sp := range r.spots {
+	for _, sp := range r.instances {
 		if sp.pool == service {
 			sum = sum.Add(sp.instance.Capacity)
 			count++
 		}
 	}
 	if count == 0 {
-		for _, sp := range r.spots {
+		for _, sp := range r.instances {
 			sum = sum.Add(sp.instance.Capacity)
 			count++
 		}
@@ -211,20 +211,20 @@
 	for i := range r.view.Services {
 		r.growLabelled(&r.view.Services[i])
 	}
-	for _, name := range r.byLack() {
-		candidates := r.offerTo(name, "")
+	for _, name := range r.byShortage() {
+		candidates := r.candidatesFor(name, "")
 		for r.count[name] < r.plan.Targets[name] {
 			sp := candidates.next()
 			if sp == nil {
 				break
 			}
-			r.send(sp, name)
+			r.reassign(sp, name)
 		}
 	}
 }
 
 // byShortage returns the services that lack instances, the largest relative shortage first.
-func (r *round) byLack() []string {
+func (r *round) byShortage() []string {
 	var names []string
 	for name, target := range r.plan.Targets {
 		if r.count[name] < target {
@@ -248,7 +248,7 @@
 // some. While to is below its need, name gives up everything that it does not need itself. Once
 // to is only below its target (for late work, say), name gives up only what exceeds its own
 // target.
-func (r *round) keeps(name, to string) int {
+func (r *round) retainedCount(name, to string) int {
 	if r.count[to] < r.needs[to] {
 		return r.needs[name]
 	}
@@ -256,32 +256,32 @@
 }
 
 // movable reports whether the instance may be moved to a pool.
-func (r *round) movable(sp *spot, to string) bool {
+func (r *round) movable(sp *instanceState, to string) bool {
 	if !sp.free || sp.closed || sp.evacuated || sp.pool == to || r.sizer.refused[sp.instance.ID][to] {
 		return false
 	}
-	if sp.pool == r.asleep {
+	if sp.pool == r.sleepingPool {
 		return true
 	}
-	return sp.known && !sp.load.Draining && sp.load.Reached && !r.kept(sp)
+	return sp.known && !sp.load.Draining && sp.load.Reached && !r.isNeededForLabel(sp)
 }
 
 // shrink puts instances above a service's target to sleep.
 func (r *round) shrink() {
-	if r.asleep == "" {
+	if r.sleepingPool == "" {
 		return
 	}
 	for i := range r.view.Services {
 		name := r.view.Services[i].Name
-		if name == r.asleep || !r.view.Services[i].Known {
+		if name == r.sleepingPool || !r.view.Services[i].Known {
 			continue
 		}
 		for _, sp := range r.leastUsed(name) {
 			if r.count[name] <= r.plan.Targets[name] {
 				break
 			}
-			if r.movable(sp, r.asleep) {
-				r.send(sp, r.asleep)
+			if r.movable(sp, r.sleepingPool) {
+				r.reassign(sp, r.sleepingPool)
 			}
 		}
 	}
@@ -289,13 +289,13 @@
 
 // leastUsed returns the instances of a service that may be put to sleep, those that are emptied
 // soonest first. It returns nil if the service is not above its target.
-func (r *round) leastUsed(name string) []*spot {
+func (r *round) leastUsed(name string) []*instanceState {
 	if r.count[name] <= r.plan.Targets[name] {
 		return nil
 	}
-	var list []*spot
-	for _, sp := range r.spots {
-		if sp.pool == name && r.movable(sp, r.asleep) {
+	var list []*instanceState
+	for _, sp := range r.instances {
+		if sp.pool == name && r.movable(sp, r.sleepingPool) {
 			list = append(list, sp)
 		}
 	}
@@ -306,14 +306,14 @@
 // reassign plans to give an instance to another pool. It orders the move if the instance is
 // asleep, or if nothing runs on it and its worker is closed. The worker of an awake instance is
 // closed in either case.
-func (r *round) send(sp *spot, to string) {
+func (r *round) reassign(sp *instanceState, to string) {
 	from := sp.pool
 	r.count[from]--
 	r.count[to]++
 	sp.closed = true
 	sp.to = to
 	r.labelCounts = nil
-	if from == r.asleep || sp.empty() {
+	if from == r.sleepingPool || sp.isEmpty() {
 		r.plan.Moves = append(r.plan.Moves, Move{
 			Instance: sp.instance.ID,
 			Worker:   sp.incarnation(),
@@ -321,13 +321,13 @@
 			To:       to,
 		})
 	}
-	if from != r.asleep {
+	if from != r.sleepingPool {
 		r.plan.Closed[from] = append(r.plan.Closed[from], sp.instance.Worker)
 	}
 }
 
 // target returns the pool that the instance is in or is moved to by this plan.
-func (sp *spot) target() string {
+func (sp *instanceState) target() string {
 	if sp.to != "" {
 		return sp.to
 	}
@@ -335,13 +335,13 @@
 }
 
 // hasWorker reports whether the instance is up and has a worker.
-func (sp *spot) awake() bool {
+func (sp *instanceState) hasWorker() bool {
 	return sp.instance.State == outside.InstanceUp && sp.instance.Worker != ""
 }
 
 // incarnation returns the incarnation of the instance's worker, as far as the owner of the
 // service reports it.
-func (sp *spot) incarnation() outside.Incarnation {
+func (sp *instanceState) incarnation() outside.Incarnation {
 	return outside.Incarnation{
 		Worker: sp.instance.Worker,
 		Born:   sp.load.Born,
@@ -349,17 +349,17 @@
 }
 
 // isEmpty reports whether nothing runs on the instance's worker and nothing can start there.
-func (sp *spot) empty() bool {
+func (sp *instanceState) isEmpty() bool {
 	return sp.load.Known && sp.load.Closed && sp.load.Runs == 0
 }
 
 // cost returns the cost of emptying an awake instance. An empty worker costs the least, one with
 // long-running tasks the most. Workers that are closed already come before open ones: choosing
 // others would undo the work of closing them.
-func (sp *spot) cost() int {
-	cost := sp.load.Runs + int(sp.load.Busy/costUnit) + lastingCost*sp.load.Lasting
+func (sp *instanceState) cost() int {
+	cost := sp.load.Runs + int(sp.load.Busy/costUnit) + longRunningCost*sp.load.Lasting
 	if !sp.load.Closed {
-		cost += closedBonus
+		cost += openPenalty
 	}
 	return cost
 }
@@ -370,7 +370,7 @@
 		sort.Strings(workers)
 	}
 	r.plan.Counts = r.count
-	r.plan.Most = make(map[string]int, len(r.needs))
+	r.plan.MaxInstances = make(map[string]int, len(r.needs))
 	for name := range r.needs {
 		most := r.available
 		for other, need := range r.needs {
@@ -378,7 +378,7 @@
 				most -= need
 			}
 		}
-		r.plan.Most[name] = max(most, r.needs[name])
+		r.plan.MaxInstances[name] = max(most, r.needs[name])
 	}
 	return r.plan
 }
--- a/pool/transfer_test.go
+++ b/pool/transfer_test.go
@@ -9,7 +9,7 @@
 // TestInstanceMovesDirectlyBetweenBursts covers services that have demand bursts one after the
 // other. At the end of a burst instances were put to sleep while others were woken in the same
 // rounds for the next burst. That took two moves where one direct move is enough.
-func TestInstanceGoesStraightFromOneTurnToTheNext(t *testing.T) {
+func TestInstanceMovesDirectlyBetweenBursts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    20,
@@ -32,7 +32,7 @@
 
 // TestSleepingInstancesArePreferredToBusyOnes covers a service with more instances than it needs,
 // all of them busy. Sleeping instances are available sooner than busy ones can be drained.
-func TestServiceIsNotLeftWaitingForAnotherToEmpty(t *testing.T) {
+func TestSleepingInstancesArePreferredToBusyOnes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(map[string]int{
 		"a":    20,
--- a/pool/uncertain_test.go
+++ b/pool/uncertain_test.go
@@ -13,9 +13,9 @@
 // next plan opened the instance's worker again because it closed only workers that it moved away
 // itself. Tasks started there. The order was repeated without a check for running tasks and ended
 // them, so that a long-running step exceeded its disruption budget.
-func TestWorkerOfAnOrderWithoutAnswerStaysClosed(t *testing.T) {
+func TestWorkerOfUnansweredOrderStaysClosed(t *testing.T) {
 	is := is.New(t)
-	f, move := orderWithoutAnswer(is)
+	f, move := unansweredOrder(is)
 	for range 30 { // 6 s, within which the order may still take effect.
 		plan := f.plan()
 		is.True(slices.Contains(plan.Closed[move.From], move.Worker.Worker))
@@ -24,9 +24,9 @@
 
 // TestOrderIsNotRepeatedWhileWorkerIsBusy covers a task that starts on the worker of an unanswered
 // order although the worker is closed. The order is repeated only after the task has ended.
-func TestOrderIsNotRepeatedWhileItsWorkerRunsSomething(t *testing.T) {
+func TestOrderIsNotRepeatedWhileWorkerIsBusy(t *testing.T) {
 	is := is.New(t)
-	f, move := orderWithoutAnswer(is)
+	f, move := unansweredOrder(is)
 	workers := f.service(move.From).Load.Workers
 	busy := workers[move.Worker.Worker]
 	busy.Runs = 1
@@ -51,7 +51,7 @@
 
 // unansweredOrder returns a fleet in which an order to move an idle instance got no answer, and
 // that order.
-func orderWithoutAnswer(is *is.I) (*fleet, pool.Move) {
+func unansweredOrder(is *is.I) (*fleet, pool.Move) {
 	f := newFleet(map[string]int{
 		"a":    8,
 		"b":    3,
@@ -66,7 +66,7 @@
 		for _, other := range plan.Moves[1:] {
 			f.sizer.Ordered(other.Instance, other.To, other.Worker, 0, f.view.Now)
 		}
-		f.sizer.Unsure(move.Instance, move.From, move.To, move.Worker, 0, f.view.Now)
+		f.sizer.Uncertain(move.Instance, move.From, move.To, move.Worker, 0, f.view.Now)
 		return f, move
 	}
 	is.Fail() // No instance was put to sleep.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -33,11 +33,11 @@
 	// minChange is the smallest share that is given back while others want more, as each
 	// change is a write. A service that wants more than its share writes an increase of
 	// Grant.Wanted from the same size on.
-	leastChange = Whole / 50
+	minChange = Whole / 50
 
 	// minWantedChange is the smallest change of Grant.Wanted that is written in all cases. The
 	// other services know Wanted only to this precision.
-	wantedChange = Whole / 10
+	minWantedChange = Whole / 10
 )
 
 // Grant is what one service holds of an organisation's limit.
@@ -91,10 +91,10 @@
 	if own.Epoch != epoch {
 		return 0, now.Limit
 	}
-	limit := Least(now.Limit, own.Limit)
+	limit := MinLimit(now.Limit, own.Limit)
 	for _, other := range l {
 		if other.Version > now.Version {
-			limit = Least(limit, other.Limit)
+			limit = MinLimit(limit, other.Limit)
 		} else if (other.Share > 0 || other.Wanted > 0) && exceeds(other.Limit, now.Limit) {
 			return 0, limit
 		}
@@ -141,7 +141,7 @@
 		return true
 	}
 	more := g.Wanted - from.Wanted
-	return more >= wantedChange || -more >= wantedChange || (g.Wanted > g.Share && more >= leastChange)
+	return more >= minWantedChange || -more >= minWantedChange || (g.Wanted > g.Share && more >= minChange)
 }
 
 // share returns the share that a service should hold.
@@ -152,7 +152,7 @@
 	switch {
 	case wanted > own && target > own:
 		return max(own, min(target, free))
-	case contended && own-max(used, target) >= leastChange:
+	case contended && own-max(used, target) >= minChange:
 		return max(used, target)
 	case !contended && own > excessFactor*target:
 		return min(own, max(used, target))
@@ -228,15 +228,15 @@
 }
 
 // MinLimit returns the lower of two limits for each resource. 0 means no limit.
-func Least(a, b job.Room) job.Room {
+func MinLimit(a, b job.Room) job.Room {
 	return job.Room{
-		MilliCPU:     leastPart(a.MilliCPU, b.MilliCPU),
-		MemoryMB:     leastPart(a.MemoryMB, b.MemoryMB),
-		Accelerators: leastPart(a.Accelerators, b.Accelerators),
+		MilliCPU:     minPart(a.MilliCPU, b.MilliCPU),
+		MemoryMB:     minPart(a.MemoryMB, b.MemoryMB),
+		Accelerators: minPart(a.Accelerators, b.Accelerators),
 	}
 }
 
-func leastPart(a, b int) int {
+func minPart(a, b int) int {
 	if a == 0 || b == 0 {
 		return max(a, b)
 	}
@@ -245,5 +245,5 @@
 
 // exceeds reports whether limit allows more of some resource than the limit than.
 func exceeds(limit, than job.Room) bool {
-	return Least(limit, than) != limit
+	return MinLimit(limit, than) != limit
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -109,7 +109,7 @@
 }
 
 // maxKnownLimit returns the highest limit that some owner may still take for the newest.
-func (d *division) most() int {
+func (d *division) maxKnownLimit() int {
 	oldest := int64(len(d.limits) - 1)
 	for _, o := range d.owners {
 		oldest = min(oldest, o.version)
@@ -121,14 +121,14 @@
 	return maxKnownLimit
 }
 
-func TestTogetherNoMoreThanTheLimitIsStarted(t *testing.T) {
+func TestOwnersStayWithinLimit(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		d := newDivision(rapid.IntRange(2, 5).Draw(t, "owners"))
 		pick := func(t *rapid.T) *divisionOwner { return rapid.SampledFrom(d.owners).Draw(t, "owner") }
 		run := func(t *rapid.T, o *divisionOwner) {
 			for d.start(o) {
-				if d.total() > d.most() {
-					t.Fatalf("%d tasks run, the limit is %d: %+v", d.total(), d.most(), d.ledger)
+				if d.total() > d.maxKnownLimit() {
+					t.Fatalf("%d tasks run, the limit is %d: %+v", d.total(), d.maxKnownLimit(), d.ledger)
 				}
 			}
 		}
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestOneServiceThatAsksForMoreGetsNearlyAll(t *testing.T) {
+func TestSingleBusyServiceGetsNearlyWholeLimit(t *testing.T) {
 	is := is.New(t)
 	d := newDivision(5)
 	for _, o := range d.owners {
@@ -206,7 +206,7 @@
 	is.True(d.owners[0].running >= 95) // At most 5 % is unused while one service wants more.
 }
 
-func TestServicesThatAllAskForMoreGetEqualParts(t *testing.T) {
+func TestBusyServicesGetEqualShares(t *testing.T) {
 	is := is.New(t)
 	d := newDivision(4)
 	d.owners[0].waiting = 500
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestNothingStartsUntilAllAreUnderALoweredLimit(t *testing.T) {
+func TestNothingStartsUntilUsageIsBelowLoweredLimit(t *testing.T) {
 	is := is.New(t)
 	d := newDivision(2)
 	d.owners[0].waiting = 80
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -156,13 +156,13 @@
 // Run follows the list until ctx ends.
 func (r *Roster) Run(ctx context.Context) error {
 	return owner.Follower{
-		Table: r.table,
-		Name:  TableMembers,
-		Log:   r.log,
-		Wait:  changeWait,
-		Rest:  changeRest,
-		Read:  r.read,
-		Apply: r.apply,
+		Table:    r.table,
+		Name:     TableMembers,
+		Log:      r.log,
+		Wait:     changeWait,
+		Interval: changeRest,
+		Read:     r.read,
+		Apply:    r.apply,
 	}.Run(ctx)
 }
 
--- a/scheduler/feeds.go
+++ b/scheduler/feeds.go
@@ -37,8 +37,8 @@
 		Essence: map[string]func([]byte) []byte{
 			platform.TableWorkers: platform.EssenceOfRegistration,
 		},
-		Wait:  min(owner.PromptWait, part(d.settings.ConfigApply, feedWaitShare)),
-		Fresh: owner.PromptWait + feedSlack,
+		Wait:  min(owner.ShortFeedWait, part(d.settings.ConfigApply, feedWaitShare)),
+		Fresh: owner.ShortFeedWait + feedSlack,
 		Lag: map[string]time.Duration{
 			roster.TableMembers: roster.ListLag,
 		},
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -73,7 +73,7 @@
 	group    *kernel.Group
 	log      *slog.Logger
 	table    outside.Table
-	patience *outside.Patience
+	patience *outside.AdaptiveTimeout
 	workers  outside.Workers
 	figures  *figures.Set
 	health   *storeHealth
@@ -158,8 +158,8 @@
 		now: d.clock.Now,
 	}
 	d.figures.Gauge("evacuated_zones", func() float64 { return float64(len(d.evacuations.Zones())) })
-	d.patience = outside.NewPatience(d.clock)
-	d.table = d.patience.Hasten(figures.ObserveTable(d.figures, d.health.observe(platform.NewTable(settings.Store, d.figures.Link))))
+	d.patience = outside.NewAdaptiveTimeout(d.clock)
+	d.table = d.patience.Wrap(figures.ObserveTable(d.figures, d.health.observe(platform.NewTable(settings.Store, d.figures.Link))))
 	d.workers = figures.ObserveWorkers(d.figures, platform.NewWorkers(d.figures.Link))
 	listener, err := listenPeers(settings)
 	if err != nil {
@@ -201,26 +201,26 @@
 		Catalog:  d.catalog.Current,
 		Registry: registry,
 		Options: shard.Options{
-			Lease:     min(workerLease, d.settings.MaxLease),
-			LeaseMost: d.settings.MaxLease,
-			BusyWait:  busyWait,
-			IdleWait:  idleWait,
-			StopTask:  d.settings.StopTask,
-			ShownFor:  d.settings.ShownFor,
-			FarFactor: d.settings.FarFactor,
-			Starts:    link.StartBudget(d.settings.LinkBits),
-			Evacuated: d.evacuations.Has,
+			Lease:        min(workerLease, d.settings.MaxLease),
+			LeaseLimit:   d.settings.MaxLease,
+			BusyPollWait: busyWait,
+			IdlePollWait: idleWait,
+			StopTimeout:  d.settings.StopTimeout,
+			JobRetention: d.settings.JobRetention,
+			RemoteFactor: d.settings.RemoteFactor,
+			Starts:       link.StartBudget(d.settings.LinkBits),
+			Evacuated:    d.evacuations.Has,
 		},
-		Listed:    d.roster.Read,
-		MoveCost:  d.options.MoveCost,
-		Advice:    platform.NewAdvice(d.settings.Advice, d.figures.Link),
-		Instances: platform.NewInstances(d.settings.Instances, d.figures.Link),
+		ListMembers: d.roster.Read,
+		MoveCost:    d.options.MoveCost,
+		Advice:      platform.NewAdvice(d.settings.Advice, d.figures.Link),
+		Instances:   platform.NewInstances(d.settings.Instances, d.figures.Link),
 		Waves: owner.WaveSource{
 			Waves:     d.listWaves,
 			StatusKey: platform.WaveStatusKey,
 			Status:    platform.EncodeWaveStatus,
 		},
-		Loads: func(ctx context.Context, service string, told owner.Directive) (shard.Load, error) {
+		RequestLoad: func(ctx context.Context, service string, told owner.Directive) (shard.Load, error) {
 			return d.load(ctx, peers, service, told)
 		},
 		Count:  d.figures.Count,
@@ -237,7 +237,7 @@
 			Table: d.followed,
 			Name:  platform.TableOperator,
 			Log:   d.log,
-			Wait:  owner.PromptWait,
+			Wait:  owner.ShortFeedWait,
 			Read:  d.readOperator,
 			Apply: d.takeOperator,
 		}.Run(ctx)
--- a/scheduler/stop.go
+++ b/scheduler/stop.go
@@ -65,7 +65,7 @@
 	wait := min(lingerWait, part(d.settings.StopGrace, lingerShare)) - conns.Settle
 	lingering, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	d.keeper.Retire()
+	d.keeper.StopClaiming()
 	d.roster.Leave(lingering)
 	clock.Sleep(lingering, wait-d.clock.Now().Sub(began))
 }
--- a/shard/admit.go
+++ b/shard/admit.go
@@ -12,11 +12,11 @@
 const (
 	// backlogRefreshInterval is the minimum time between two full backlog estimates, each of
 	// which walks all jobs. Jobs accepted in between are added to the current estimate.
-	surveyPause = 100 * time.Millisecond
+	backlogRefreshInterval = 100 * time.Millisecond
 
 	// jitterSteps is the number of values of the jitter that spreads the retries of refused
 	// callers.
-	spreadSteps = 1 << 16
+	jitterSteps = 1 << 16
 )
 
 // demand is the amount of work that a set of tasks needs.
@@ -24,15 +24,15 @@
 	// work is instance time: a task that needs a tenth of an instance for a second adds
 	// 100 ms. quotaTime is how long the work takes with the whole quota of its organisation,
 	// 0 if that has no quota. starts is the number of tasks that have yet to start.
-	work   time.Duration
-	quota  time.Duration
-	starts int
+	work      time.Duration
+	quotaTime time.Duration
+	starts    int
 }
 
 // survey is the remaining work of the jobs that can end in time, as of computedAt.
 type survey struct {
-	at   time.Time
-	each job.Room
+	computedAt     time.Time
+	workerCapacity job.Room
 
 	// demands holds the work of each organisation.
 	demands map[string]demand
@@ -40,50 +40,50 @@
 
 // SetMaxInstances sets the maximum number of instances that the service could have, as reported
 // by the instance controller; 0 means that it is unknown.
-func (s *Shard) SetMost(instances int) {
-	s.most = instances
+func (s *Shard) SetMaxInstances(instances int) {
+	s.maxInstances = instances
 }
 
 // admit decides whether a submitted job is accepted.
 func (s *Shard) admit(record Record, now time.Time) backlog.Verdict {
-	mayRefuse := !s.standbyUnread && len(s.refused)+len(s.refusing) < refusedMost
+	mayRefuse := !s.standbyUnread && len(s.storedRefusals)+len(s.refusing) < maxRefusals
 	if mayRefuse && s.exceedsQuota(record) {
 		return backlog.Verdict{
-			ComeBack: backlog.ComeBackMost,
+			RetryAfter: backlog.MaxRetryAfter,
 		}
 	}
-	if record.Spec.Repeats > 0 || s.most <= 0 || !mayRefuse {
+	if record.Spec.Repeats > 0 || s.maxInstances <= 0 || !mayRefuse {
 		return backlog.Verdict{
-			Take: true,
+			Accept: true,
 		}
 	}
-	s.look(now)
-	backlogJob := s.asked(record, now)
-	work, starts := s.survey.within(backlogJob.Useful())
+	s.refreshBacklog(now)
+	backlogJob := s.backlogJob(record, now)
+	work, starts := s.survey.runnableWithin(backlogJob.UsefulFor())
 	verdict := backlog.Decide(backlog.Service{
-		Instances:       float64(s.most),
+		Instances:       float64(s.maxInstances),
 		Work:            work,
 		Starts:          starts,
-		StartsPerSecond: s.opts.Starts.PerSecond(startBytes + len(record.Spec.Text)),
-	}, backlogJob, float64(xxhash.Sum64String(record.ID)%spreadSteps)/spreadSteps)
+		StartsPerSecond: s.opts.Starts.MessagesPerSecond(startOverheadBytes + len(record.Spec.Text)),
+	}, backlogJob, float64(xxhash.Sum64String(record.ID)%jitterSteps)/jitterSteps)
 	if backlogJob.Work == 0 {
 		// The job is long-running or needs no resources.
-		verdict.Take = true
+		verdict.Accept = true
 	}
-	if verdict.Take {
-		s.survey.add(record.Organisation, s.demandOf(record))
+	if verdict.Accept {
+		s.survey.add(record.Organisation, s.jobDemand(record))
 	}
 	return verdict
 }
 
 // runnableWithin returns how much of the work and how many of the starts the quotas of all
 // organisations allow within span.
-func (v *survey) within(span time.Duration) (time.Duration, int) {
+func (v *survey) runnableWithin(span time.Duration) (time.Duration, int) {
 	work, starts := 0.0, 0.0
 	for _, d := range v.demands {
 		part := 1.0
-		if d.quota > span {
-			part = float64(span) / float64(d.quota)
+		if d.quotaTime > span {
+			part = float64(span) / float64(d.quotaTime)
 		}
 		work += part * float64(d.work)
 		starts += part * float64(d.starts)
@@ -96,24 +96,24 @@
 }
 
 // backlogJob returns what a submitted job requests; zero if the job is long-running.
-func (s *Shard) asked(record Record, now time.Time) backlog.Job {
+func (s *Shard) backlogJob(record Record, now time.Time) backlog.Job {
 	if record.Spec.Lasting() {
 		return backlog.Job{}
 	}
 	j := newJob(record, record.Policy)
-	d := s.demandOf(record)
+	d := s.jobDemand(record)
 	return backlog.Job{
-		Chain:     chain(record.Spec),
-		Objective: j.deadline.Sub(record.accepted()),
-		Waited:    now.Sub(record.accepted()),
+		Chain:     criticalPath(record.Spec),
+		Objective: j.deadline.Sub(record.acceptedAt()),
+		Waited:    now.Sub(record.acceptedAt()),
 		Work:      d.work,
 		Starts:    d.starts,
-		Quota:     s.survey.demands[record.Organisation].quota + d.quota,
+		Quota:     s.survey.demands[record.Organisation].quotaTime + d.quotaTime,
 	}
 }
 
 // jobDemand returns the demand of all tasks of a job; zero if the job is long-running.
-func (s *Shard) demandOf(record Record) demand {
+func (s *Shard) jobDemand(record Record) demand {
 	j := newJob(record, record.Policy)
 	var sum demand
 	for i := range record.Spec.Steps {
@@ -121,7 +121,7 @@
 		if step.Lasting {
 			return demand{}
 		}
-		sum = sum.plus(s.demand(j, step, s.expect(j, step), step.Count))
+		sum = sum.plus(s.demand(j, step, s.expectedRunTime(j, step), step.Count))
 		sum.starts += step.Count
 	}
 	return sum
@@ -131,32 +131,32 @@
 func (s *Shard) demand(j *jobState, step *job.Step, duration time.Duration, count int) demand {
 	all := float64(count) * float64(duration)
 	d := demand{
-		work: time.Duration(step.Charge().Share(s.survey.each) * all),
+		work: time.Duration(step.Charge().Share(s.survey.workerCapacity) * all),
 	}
 	if q, bounded := s.quotaOf(j.record.Organisation); bounded {
-		d.quota = time.Duration(step.Need.Share(q.Limit) * all)
+		d.quotaTime = time.Duration(step.Need.Share(q.Limit) * all)
 	}
 	return d
 }
 
 func (d demand) plus(o demand) demand {
 	return demand{
-		work:   d.work + o.work,
-		quota:  d.quota + o.quota,
-		starts: d.starts + o.starts,
+		work:      d.work + o.work,
+		quotaTime: d.quotaTime + o.quotaTime,
+		starts:    d.starts + o.starts,
 	}
 }
 
 // refreshBacklog estimates the remaining work of all jobs that can end in time, unless the last
 // estimate is younger than backlogRefreshInterval.
-func (s *Shard) look(now time.Time) {
-	if now.Sub(s.survey.at) < surveyPause {
+func (s *Shard) refreshBacklog(now time.Time) {
+	if now.Sub(s.survey.computedAt) < backlogRefreshInterval {
 		return
 	}
 	s.survey = survey{
-		at:      now,
-		each:    s.meanRoom(),
-		demands: make(map[string]demand),
+		computedAt:     now,
+		workerCapacity: s.meanCapacity(),
+		demands:        make(map[string]demand),
 	}
 	for _, w := range s.workers {
 		for id, r := range w.runs {
@@ -168,19 +168,19 @@
 		}
 	}
 	for _, j := range s.jobs {
-		s.lookAt(j, now)
+		s.addPendingDemand(j, now)
 	}
 }
 
 // addPendingDemand adds the tasks of a job that have yet to start to the estimate, as far as the
 // job can still end in time.
-func (s *Shard) lookAt(j *jobState, now time.Time) {
-	if j.state.Final() || j.lasts() || j.record.Spec.Repeats > 0 {
+func (s *Shard) addPendingDemand(j *jobState, now time.Time) {
+	if j.state.Final() || j.hasLongRunningStep() || j.record.Spec.Repeats > 0 {
 		return
 	}
-	if j.begunOccurrences == 0 {
+	if j.dueOccurrences == 0 {
 		// The record is not stored yet, so no occurrence exists.
-		s.survey.add(j.record.Organisation, s.demandOf(j.record))
+		s.survey.add(j.record.Organisation, s.jobDemand(j.record))
 		return
 	}
 	for k, o := range j.occurrences {
@@ -190,11 +190,11 @@
 				occurrence: k,
 				step:       st,
 			}
-			if len(step.idle) == 0 || s.outlookOf(g, now) != outlookFull {
+			if len(step.idle) == 0 || s.remainingValue(g, now) != valueFull {
 				continue
 			}
 			spec := &j.record.Spec.Steps[st]
-			d := s.demand(j, spec, s.expect(j, spec), len(step.idle))
+			d := s.demand(j, spec, s.expectedRunTime(j, spec), len(step.idle))
 			d.starts = len(step.idle)
 			s.survey.add(j.record.Organisation, d)
 		}
@@ -203,7 +203,7 @@
 
 // meanCapacity returns the mean capacity in the registrations of the service's workers; zero if
 // there is none. The capacity of a worker that is known by its row only is unknown.
-func (s *Shard) meanRoom() job.Room {
+func (s *Shard) meanCapacity() job.Room {
 	var sum job.Room
 	count := 0
 	for _, w := range s.workers {
--- a/shard/advice.go
+++ b/shard/advice.go
@@ -11,23 +11,23 @@
 const (
 	// maxRequestedWorkers is the maximum number of workers that one ticket request names. The
 	// platform expects 30 for a step.
-	askMost = 30
+	maxRequestedWorkers = 30
 
 	// ticketRetryInterval is the pause after a ticket request that failed or granted no
 	// ticket.
-	askAgain = 300 * time.Millisecond
+	ticketRetryInterval = 300 * time.Millisecond
 
 	// maxOpenTicketRequests is the maximum number of open ticket requests of a shard. The
 	// ticket service handles them one at a time and refuses more than 32 queued ones.
-	asksMost = 4
+	maxOpenTicketRequests = 4
 
 	// ticketExpiryMargin is how long before its expiry a ticket is no longer used, because an
 	// order may be in transit for that long.
-	ticketReserve = 300 * time.Millisecond
+	ticketExpiryMargin = 300 * time.Millisecond
 )
 
 // stepTickets holds which workers are known to be allowed, or not, to run a step.
-type permission struct {
+type stepTickets struct {
 	// tickets maps the id of a worker that may run the step to its ticket.
 	tickets map[string]string
 
@@ -37,29 +37,29 @@
 
 	// tickets are used until validUntil. requesting is set while a ticket request is open; the
 	// next one is sent at retryAt at the earliest.
-	until    time.Time
-	asking   bool
-	notAfter time.Time
+	validUntil time.Time
+	requesting bool
+	retryAt    time.Time
 
 	// requested holds the incarnations of the workers that the last request named.
-	asked []*workerState
+	requested []*workerState
 }
 
 // TicketsReceived handles the answer to a ticket request.
-func (s *Shard) Advised(request Ask, tickets outside.Tickets, err error, now time.Time) {
+func (s *Shard) TicketsReceived(request TicketRequest, tickets outside.Tickets, err error, now time.Time) {
 	p := s.tickets[request.Step]
 	if p == nil {
 		return
 	}
-	p.asking = false
+	p.requesting = false
 	if err != nil {
-		p.notAfter = now.Add(askAgain)
-		s.opts.Report("ticket request failed", "step", request.Step, "workers", len(request.Workers), "error", err.Error())
+		p.retryAt = now.Add(ticketRetryInterval)
+		s.opts.LogEvent("ticket request failed", "step", request.Step, "workers", len(request.Workers), "error", err.Error())
 		return
 	}
 	p.tickets = make(map[string]string, len(tickets.ByWorker))
-	p.until = now.Add(tickets.Valid - ticketReserve)
-	for _, w := range p.asked {
+	p.validUntil = now.Add(tickets.Valid - ticketExpiryMargin)
+	for _, w := range p.requested {
 		id := w.reg.ID
 		if s.workers[id] != w {
 			// The answer is about an incarnation that has ended. A denial would exclude the
@@ -73,39 +73,39 @@
 		}
 	}
 	if len(p.tickets) == 0 {
-		p.notAfter = now.Add(askAgain)
+		p.retryAt = now.Add(ticketRetryInterval)
 	}
-	s.opts.Report("tickets received", "step", request.Step, "workers", len(request.Workers), "good", len(tickets.ByWorker))
+	s.opts.LogEvent("tickets received", "step", request.Step, "workers", len(request.Workers), "good", len(tickets.ByWorker))
 }
 
 // ensureTickets reports whether a step may be placed now. If the step needs tickets and has none,
 // it requests them.
-func (s *Shard) mayPlace(g group, now time.Time) bool {
+func (s *Shard) ensureTickets(g group, now time.Time) bool {
 	if !g.job.policy.Advised {
 		return true
 	}
 	step := g.task(0).StepName()
 	p := s.tickets[step]
 	if p == nil {
-		p = &permission{
+		p = &stepTickets{
 			denied: make(map[string]bool),
 		}
 		s.tickets[step] = p
 	}
-	if now.Before(p.until) && len(p.tickets) > 0 {
+	if now.Before(p.validUntil) && len(p.tickets) > 0 {
 		return true
 	}
-	if !p.asking && !now.Before(p.notAfter) && s.asking() < asksMost {
-		s.ask(step, p, &g.job.record.Spec.Steps[g.step], now)
+	if !p.requesting && !now.Before(p.retryAt) && s.requesting() < maxOpenTicketRequests {
+		s.request(step, p, &g.job.record.Spec.Steps[g.step], now)
 	}
 	return false
 }
 
 // requesting returns the number of ticket requests without an answer.
-func (s *Shard) asking() int {
+func (s *Shard) requesting() int {
 	count := 0
 	for _, p := range s.tickets {
-		if p.asking {
+		if p.requesting {
 			count++
 		}
 	}
@@ -113,11 +113,11 @@
 }
 
 // request orders a ticket request for a step and the least loaded workers that could run it.
-func (s *Shard) ask(step string, p *permission, spec *job.Step, now time.Time) {
+func (s *Shard) request(step string, p *stepTickets, spec *job.Step, now time.Time) {
 	var list []*workerState
 	for _, w := range s.workers {
 		labelled := spec.Label == "" || hasLabel(w.reg.Labels, spec.Label)
-		if !p.denied[w.reg.ID] && labelled && s.takes(w, now) && w.reg.Capacity.Fits(spec.Charge()) {
+		if !p.denied[w.reg.ID] && labelled && s.eligible(w, now) && w.reg.Capacity.Fits(spec.Charge()) {
 			list = append(list, w)
 		}
 	}
@@ -130,26 +130,26 @@
 		}
 		return list[i].reg.ID < list[j].reg.ID
 	})
-	request := Ask{
+	request := TicketRequest{
 		Step: step,
 	}
-	p.asked = list[:min(askMost, len(list))]
-	for _, w := range p.asked {
+	p.requested = list[:min(maxRequestedWorkers, len(list))]
+	for _, w := range p.requested {
 		request.Workers = append(request.Workers, w.reg.ID)
 	}
-	p.asking = true
-	s.orders.Asks = append(s.orders.Asks, request)
+	p.requesting = true
+	s.orders.TicketRequests = append(s.orders.TicketRequests, request)
 }
 
 // isPermitted reports whether a worker may run a task: the task needs no ticket, or the worker
 // has a valid one.
-func (s *Shard) permitted(id job.TaskID, w *workerState, now time.Time) bool {
+func (s *Shard) isPermitted(id job.TaskID, w *workerState, now time.Time) bool {
 	j := s.jobs[id.Job]
 	if j == nil || !j.policy.Advised {
 		return true
 	}
 	p := s.tickets[id.StepName()]
-	if p == nil || !now.Before(p.until) {
+	if p == nil || !now.Before(p.validUntil) {
 		return false
 	}
 	_, good := p.tickets[w.reg.ID]
@@ -157,7 +157,7 @@
 }
 
 // ticketFor returns the ticket that a start carries; empty if none is needed.
-func (s *Shard) ticket(id job.TaskID, w *workerState) string {
+func (s *Shard) ticketFor(id job.TaskID, w *workerState) string {
 	p := s.tickets[id.StepName()]
 	if p == nil {
 		return ""
@@ -167,7 +167,7 @@
 
 // forgetWorkerTickets drops all tickets and denials of a worker. They are valid for one
 // incarnation, and the next one may be a worker of another kind.
-func (s *Shard) forgetTicketsOf(worker string) {
+func (s *Shard) forgetWorkerTickets(worker string) {
 	for _, p := range s.tickets {
 		delete(p.tickets, worker)
 		delete(p.denied, worker)
@@ -175,7 +175,7 @@
 }
 
 // forgetJobTickets drops the tickets and denials for the steps of a job.
-func (s *Shard) forgetTickets(j *jobState) {
+func (s *Shard) forgetJobTickets(j *jobState) {
 	for k := range j.occurrences {
 		for step := range j.record.Spec.Steps {
 			id := job.TaskID{
--- a/shard/advice_test.go
+++ b/shard/advice_test.go
@@ -12,7 +12,7 @@
 )
 
 // submitAdvised submits a job whose steps may only start on workers with a ticket.
-func (w *world) advised(id string, steps ...job.Step) {
+func (w *world) submitAdvised(id string, steps ...job.Step) {
 	w.policy.Advised = true
 	w.submit(id, steps...)
 }
@@ -21,13 +21,13 @@
 	is := is.New(t)
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
-	w.advised("a", step(2))
+	w.submitAdvised("a", step(2))
 	w.run(300 * time.Millisecond)
-	is.Equal(len(w.asks), 1) // One ticket request per step, and no start before its answer.
+	is.Equal(len(w.ticketRequests), 1) // One ticket request per step, and no start before its answer.
 	for _, f := range w.workers {
 		is.Equal(len(f.runs), 0)
 	}
-	w.core.Advised(w.asks[0], outside.Tickets{
+	w.core.TicketsReceived(w.ticketRequests[0], outside.Tickets{
 		ByWorker: map[string]string{
 			"w1": "ticket",
 		},
@@ -41,36 +41,36 @@
 	w.check(t)
 }
 
-func TestAdviceIsAskedForAgainWhenTicketsEnd(t *testing.T) {
+func TestTicketsAreRequestedAgainWhenTheyExpire(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	full := step(4)
 	w.submit("first", full)
 	w.run(100 * time.Millisecond)
-	w.advised("a", step(1))
+	w.submitAdvised("a", step(1))
 	w.run(100 * time.Millisecond)
-	is.Equal(len(w.asks), 1)
-	w.core.Advised(w.asks[0], outside.Tickets{
+	is.Equal(len(w.ticketRequests), 1)
+	w.core.TicketsReceived(w.ticketRequests[0], outside.Tickets{
 		ByWorker: map[string]string{
 			"w0": "ticket",
 		},
 		Valid: 400 * time.Millisecond,
 	}, nil, w.now)
 	w.run(3 * time.Second) // The worker was full until the ticket had expired.
-	is.True(len(w.asks) > 1)
+	is.True(len(w.ticketRequests) > 1)
 }
 
-func TestFailedQuestionIsRepeated(t *testing.T) {
+func TestFailedTicketRequestIsRetried(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
-	w.advised("a", step(1))
+	w.submitAdvised("a", step(1))
 	w.run(100 * time.Millisecond)
-	w.core.Advised(w.asks[0], outside.Tickets{}, &outside.NotDoneError{}, w.now)
+	w.core.TicketsReceived(w.ticketRequests[0], outside.Tickets{}, &outside.NotDoneError{}, w.now)
 	w.run(time.Second)
-	is.Equal(len(w.asks), 2)
-	is.Equal(w.asks[1], shard.Ask{
+	is.Equal(len(w.ticketRequests), 2)
+	is.Equal(w.ticketRequests[1], shard.TicketRequest{
 		Step:    "a.0.0",
 		Workers: []string{"w0"},
 	})
@@ -80,14 +80,14 @@
 // order that ends its instance, before or after the answer to the ticket request. The next
 // incarnation may run the step. A denial was stored by the worker's id and never dropped, so the
 // job waited forever.
-func TestAdviceHoldsOfOneIncarnation(t *testing.T) {
-	restart := func(w *world) { w.startAgain(w.workers["w0"], 100*time.Millisecond) }
+func TestTicketsApplyToOneIncarnation(t *testing.T) {
+	restart := func(w *world) { w.restartWorker(w.workers["w0"], 100*time.Millisecond) }
 	endInstance := func(w *world) {
-		w.core.End([]string{w.workers["w0"].reg.Incarnation().String()}, w.now)
+		w.core.RemoveTaken([]string{w.workers["w0"].reg.Incarnation().String()}, w.now)
 		restart(w)
 	}
 	deny := func(w *world) {
-		w.core.Advised(w.asks[0], outside.Tickets{}, nil, w.now)
+		w.core.TicketsReceived(w.ticketRequests[0], outside.Tickets{}, nil, w.now)
 	}
 	for name, events := range map[string][]func(w *world){
 		"starts again before the answer":       {restart, deny},
@@ -100,15 +100,15 @@
 			is := is.New(t)
 			w := newWorld(1)
 			w.run(200 * time.Millisecond)
-			w.advised("a", step(1))
+			w.submitAdvised("a", step(1))
 			w.run(100 * time.Millisecond)
-			is.Equal(len(w.asks), 1)
+			is.Equal(len(w.ticketRequests), 1)
 			for _, event := range events {
 				event(w)
 				w.run(time.Second)
 			}
-			for _, ask := range w.asks[1:] {
-				w.core.Advised(ask, outside.Tickets{
+			for _, ask := range w.ticketRequests[1:] {
+				w.core.TicketsReceived(ask, outside.Tickets{
 					ByWorker: map[string]string{
 						"w0": "ticket",
 					},
--- a/shard/alone_measure_test.go
+++ b/shard/alone_measure_test.go
@@ -18,21 +18,21 @@
 	defaultAloneSeeds  = 4
 
 	// maxIsolationWait is the longest that a task may wait for a dedicated worker.
-	waitMost = 15 * time.Second
+	maxIsolationWait = 15 * time.Second
 
 	// isolationJobs is the number of jobs in a simulation run, with four tasks each.
-	aloneJobs = 250
+	isolationJobs = 250
 )
 
 // isolationStats holds the results of one or more simulation runs.
-type aloneDay struct {
+type isolationStats struct {
 	// crashes holds the number of workers that each culprit crashed, waits how long each
 	// isolated task waited for a dedicated worker.
 	crashes []int
 	waits   []time.Duration
 
 	// failed counts the bystander jobs that were given up, unfinished those that had not ended.
-	given, open int
+	failed, unfinished int
 }
 
 // TestWaitsForAWorkerOfOnesOwn measures how long isolated tasks wait for a dedicated worker. Each
@@ -48,29 +48,29 @@
 			t.Fatal(err)
 		}
 	}
-	var all aloneDay
+	var all isolationStats
 	for seed := range uint64(seeds) {
-		stats := measureWaits(t, seed)
+		stats := simulateIsolation(t, seed)
 		all.crashes = append(all.crashes, stats.crashes...)
 		all.waits = append(all.waits, stats.waits...)
-		all.given += stats.given
-		all.open += stats.open
+		all.failed += stats.failed
+		all.unfinished += stats.unfinished
 	}
 	slices.Sort(all.crashes)
 	slices.Sort(all.waits)
 	t.Logf("seeds=%d culprits=%d crashes_median=%d crashes_most=%d innocent_jobs_given_up=%d innocent_jobs_open=%d waits=%d wait_median_ms=%d wait_99_ms=%d wait_most_ms=%d",
-		seeds, len(all.crashes), all.crashes[len(all.crashes)/2], slices.Max(all.crashes), all.given, all.open,
-		len(all.waits), share(all.waits, 0.5).Milliseconds(), share(all.waits, 0.99).Milliseconds(), share(all.waits, 1).Milliseconds())
-	if all.open > 0 {
-		t.Errorf("%d bystander jobs have not ended", all.open)
+		seeds, len(all.crashes), all.crashes[len(all.crashes)/2], slices.Max(all.crashes), all.failed, all.unfinished,
+		len(all.waits), quantile(all.waits, 0.5).Milliseconds(), quantile(all.waits, 0.99).Milliseconds(), quantile(all.waits, 1).Milliseconds())
+	if all.unfinished > 0 {
+		t.Errorf("%d bystander jobs have not ended", all.unfinished)
 	}
-	if most := share(all.waits, 1); most > waitMost {
+	if most := quantile(all.waits, 1); most > maxIsolationWait {
 		t.Errorf("a task waited %v for a dedicated worker", most)
 	}
 }
 
 // quantile returns the value below which the given part of a sorted list lies.
-func share(sorted []time.Duration, part float64) time.Duration {
+func quantile(sorted []time.Duration, part float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -78,27 +78,27 @@
 }
 
 // simulateIsolation does one simulation run.
-func measureWaits(t *testing.T, seed uint64) aloneDay {
+func simulateIsolation(t *testing.T, seed uint64) isolationStats {
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 2))
-	var stats aloneDay
+	var stats isolationStats
 	count := 4 + draw.IntN(27)
 	w := newWorld(count)
-	w.report = func(event string, fields ...any) {
+	w.logEvent = func(event string, fields ...any) {
 		if event == "suspect waits no more" {
 			stats.waits = append(stats.waits, time.Duration(waitedMillis(fields))*time.Millisecond)
 		}
 	}
-	w.lenient = true
+	w.allowExtraStarts = true
 	w.sameID = seed%2 == 1
-	w.backAfter = time.Duration(20+draw.IntN(300)) * tick
+	w.restartDelay = time.Duration(20+draw.IntN(300)) * tick
 	w.run(200 * time.Millisecond)
 	spread := lasting(count*3/4, 1)
 	spread.PerWorker = 1
 	w.submit("lasting", spread)
 	w.run(3 * time.Second)
-	culpritJobs := draw.Perm(aloneJobs)[:1+draw.IntN(30)]
-	for i := range aloneJobs {
+	culpritJobs := draw.Perm(isolationJobs)[:1+draw.IntN(30)]
+	for i := range isolationJobs {
 		id := fmt.Sprintf("j%d", i)
 		s := step(4)
 		s.Estimate = time.Duration(300+draw.IntN(900)) * time.Millisecond
@@ -110,7 +110,7 @@
 		}
 		w.submit(id, s)
 		w.run(time.Duration(draw.IntN(120*4/count)) * tick)
-		disturb(w, draw, i)
+		injectFaults(w, draw, i)
 	}
 	w.run(2 * time.Minute)
 	w.check(t)
@@ -124,9 +124,9 @@
 		switch {
 		case culpritTasks > 0 || id == "lasting":
 		case state == job.Failed:
-			stats.given++
+			stats.failed++
 		case state != job.Completed:
-			stats.open++
+			stats.unfinished++
 		}
 	}
 	for task := range w.culprits {
@@ -137,8 +137,8 @@
 
 // injectFaults replaces the owner or an idle worker in some rounds. After one third and after two
 // thirds of the jobs, three workers in ten crash.
-func disturb(w *world, draw *rand.Rand, round int) {
-	workerIDs := w.names()
+func injectFaults(w *world, draw *rand.Rand, round int) {
+	workerIDs := w.workerIDs()
 	f := w.workers[workerIDs[draw.IntN(len(workerIDs))]]
 	switch draw.IntN(60) {
 	case 0:
@@ -146,24 +146,24 @@
 	case 1:
 		w.release(20 * tick)
 	case 2:
-		w.takeOverFromLiving(time.Duration(draw.IntN(300)) * tick)
+		w.takeOverFromActive(time.Duration(draw.IntN(300)) * tick)
 	case 3:
-		if len(w.runsOf(f)) == 0 {
-			w.replace(f, true)
+		if len(w.runningTasks(f)) == 0 {
+			w.replaceWorker(f, true)
 		}
 	}
-	if round != aloneJobs/3 && round != 2*aloneJobs/3 {
+	if round != isolationJobs/3 && round != 2*isolationJobs/3 {
 		return
 	}
 	for i, id := range workerIDs {
 		if i%10 < 3 {
-			w.crashUnder(w.workers[id])
+			w.crashWorker(w.workers[id])
 		}
 	}
 }
 
 // runningTasks returns the tasks that run on a worker.
-func (w *world) runsOf(f *fakeWorker) []job.TaskID {
+func (w *world) runningTasks(f *fakeWorker) []job.TaskID {
 	list := make([]job.TaskID, 0, len(f.runs))
 	for id := range f.runs {
 		list = append(list, id)
--- a/shard/availability_test.go
+++ b/shard/availability_test.go
@@ -24,66 +24,66 @@
 
 	// simulationRounds is the number of rounds in a simulation run. A round takes some 300 ms
 	// and may begin or end faults. guardRounds is the number of rounds in a short run.
-	dayRounds   = 100
-	guardRounds = 10
+	simulationRounds = 100
+	guardRounds      = 10
 )
 
 // faultKind is one kind of fault. inject begins a fault, clearFaults ends it.
-type dayTrouble struct {
-	name  string
-	begin func(w *world, h *holder, draw *rand.Rand)
+type faultKind struct {
+	name   string
+	inject func(w *world, h *instanceController, draw *rand.Rand)
 }
 
 // faultKinds returns every kind of fault that a simulation run may inject.
-func dayTroubles() []dayTrouble {
+func faultKinds() []faultKind {
 	randomWorker := func(w *world, draw *rand.Rand) *fakeWorker {
-		workerIDs := w.names()
+		workerIDs := w.workerIDs()
 		return w.workers[workerIDs[draw.IntN(len(workerIDs))]]
 	}
-	return []dayTrouble{
-		{name: "calm", begin: func(*world, *holder, *rand.Rand) {}},
-		{name: "late stops", begin: func(w *world, _ *holder, draw *rand.Rand) {
-			w.loseStops = time.Duration(1+draw.IntN(12)) * time.Second
+	return []faultKind{
+		{name: "calm", inject: func(*world, *instanceController, *rand.Rand) {}},
+		{name: "late stops", inject: func(w *world, _ *instanceController, draw *rand.Rand) {
+			w.stopDelay = time.Duration(1+draw.IntN(12)) * time.Second
 		}},
-		{name: "late starts", begin: func(w *world, _ *holder, draw *rand.Rand) {
-			w.lose = time.Duration(1+draw.IntN(30)) * 100 * time.Millisecond
+		{name: "late starts", inject: func(w *world, _ *instanceController, draw *rand.Rand) {
+			w.startDelay = time.Duration(1+draw.IntN(30)) * 100 * time.Millisecond
 		}},
-		{name: "late looks", begin: func(w *world, _ *holder, draw *rand.Rand) {
-			w.loseLooks = time.Duration(1+draw.IntN(30)) * 100 * time.Millisecond
+		{name: "late looks", inject: func(w *world, _ *instanceController, draw *rand.Rand) {
+			w.pollDelay = time.Duration(1+draw.IntN(30)) * 100 * time.Millisecond
 		}},
-		{name: "silent workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).cut = true }},
-		{name: "crashes", begin: func(w *world, _ *holder, draw *rand.Rand) { w.crashUnder(randomWorker(w, draw)) }},
-		{name: "unhealthy workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).unhealthy = true }},
-		{name: "deaf workers", begin: func(w *world, _ *holder, draw *rand.Rand) { randomWorker(w, draw).deaf = 1 }},
-		{name: "instance orders without answers", begin: func(_ *world, h *holder, draw *rand.Rand) {
-			h.loseOrders = true
-			h.lateOrders = time.Duration(draw.IntN(9)) * 100 * time.Millisecond
+		{name: "silent workers", inject: func(w *world, _ *instanceController, draw *rand.Rand) { randomWorker(w, draw).partitioned = true }},
+		{name: "crashes", inject: func(w *world, _ *instanceController, draw *rand.Rand) { w.crashWorker(randomWorker(w, draw)) }},
+		{name: "unhealthy workers", inject: func(w *world, _ *instanceController, draw *rand.Rand) { randomWorker(w, draw).unhealthy = true }},
+		{name: "deaf workers", inject: func(w *world, _ *instanceController, draw *rand.Rand) { randomWorker(w, draw).ignoreStops = 1 }},
+		{name: "instance orders without answers", inject: func(_ *world, h *instanceController, draw *rand.Rand) {
+			h.unansweredOrders = true
+			h.orderDelay = time.Duration(draw.IntN(9)) * 100 * time.Millisecond
 		}},
-		{name: "slow announcements", begin: func(_ *world, h *holder, draw *rand.Rand) {
-			h.announces = time.Duration(draw.IntN(95)) * tick
+		{name: "slow announcements", inject: func(_ *world, h *instanceController, draw *rand.Rand) {
+			h.announceDelay = time.Duration(draw.IntN(95)) * tick
 		}},
-		{name: "takeovers", begin: func(w *world, _ *holder, _ *rand.Rand) { w.takeOver() }},
-		{name: "hand-overs", begin: func(w *world, _ *holder, draw *rand.Rand) { w.release(time.Duration(draw.IntN(50)) * tick) }},
+		{name: "takeovers", inject: func(w *world, _ *instanceController, _ *rand.Rand) { w.takeOver() }},
+		{name: "hand-overs", inject: func(w *world, _ *instanceController, draw *rand.Rand) { w.release(time.Duration(draw.IntN(50)) * tick) }},
 	}
 }
 
 // clearFaults ends the faults that are in effect.
-func calmDown(w *world, h *holder) {
+func clearFaults(w *world, h *instanceController) {
 	for _, f := range w.workers {
-		f.cut = false
+		f.partitioned = false
 		f.unhealthy = false
 	}
-	w.lose = 0
-	w.loseStops = 0
-	w.loseLooks = 0
-	h.loseOrders = false
-	h.announces = 2 * tick
+	w.startDelay = 0
+	w.stopDelay = 0
+	w.pollDelay = 0
+	h.unansweredOrders = false
+	h.announceDelay = 2 * tick
 }
 
 // TestAvailabilityUnderFaults simulates bursts of demand and a maintenance wave on a pool with
 // long-running tasks, with one kind of fault or all of them. No order may make more tasks of a
 // step unavailable than the step may miss.
-func TestAvailabilityUnderTroubles(t *testing.T) {
+func TestAvailabilityUnderFaults(t *testing.T) {
 	runs := availabilityDays
 	if text := os.Getenv(availabilityVariable); text != "" {
 		var err error
@@ -91,13 +91,13 @@
 			t.Fatal(err)
 		}
 	}
-	kinds := dayTroubles()
+	kinds := faultKinds()
 	for _, kind := range kinds {
 		t.Run(strings.ReplaceAll(kind.name, " ", "-"), func(t *testing.T) {
-			playDays(t, runs, []dayTrouble{kind})
+			runSimulations(t, runs, []faultKind{kind})
 		})
 	}
-	t.Run("all", func(t *testing.T) { playDays(t, runs, kinds) })
+	t.Run("all", func(t *testing.T) { runSimulations(t, runs, kinds) })
 }
 
 // TestWhoIsAtWorkCarriesAvailability checks that the simulation above detects a missing guard: the
@@ -107,21 +107,21 @@
 	prove.Guard(t, prove.Budget, "percent-says-who-is-at-work", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
 			seed := rapid.Uint64Range(0, 1000).Draw(t, "seed")
-			availabilityDay(seed, guardRounds, dayTroubles()[:1], func(w *world) { w.full = !on }).check(t)
+			simulateAvailability(seed, guardRounds, faultKinds()[:1], func(w *world) { w.reportAllAvailable = !on }).check(t)
 		}
 	})
 }
 
-func playDays(t *testing.T, runs int, kinds []dayTrouble) {
+func runSimulations(t *testing.T, runs int, kinds []faultKind) {
 	t.Helper()
 	stops, takenDown, broken := 0, 0, 0
 	for seed := range uint64(runs) {
-		w := availabilityDay(seed, dayRounds, kinds, func(*world) {})
+		w := simulateAvailability(seed, simulationRounds, kinds, func(*world) {})
 		stops += w.stops
-		takenDown += w.holder.taken
-		if len(w.faults) > 0 {
+		takenDown += w.instanceController.takenDown
+		if len(w.violations) > 0 {
 			broken++
-			t.Errorf("seed %d: %s", seed, strings.Join(w.faults, "\n"))
+			t.Errorf("seed %d: %s", seed, strings.Join(w.violations, "\n"))
 		}
 	}
 	t.Logf("days=%d broken=%d stops=%d instances_taken=%d", runs, broken, stops, takenDown)
@@ -129,12 +129,12 @@
 
 // simulateAvailability does one simulation run of the given number of rounds. prepare changes the
 // world before the run. The returned world holds the violations and counters of the run.
-func availabilityDay(seed uint64, rounds int, kinds []dayTrouble, prepare func(*world)) *world {
+func simulateAvailability(seed uint64, rounds int, kinds []faultKind, prepare func(*world)) *world {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	w := newWorld(10)
 	prepare(w)
-	h := newHolder(w, 6)
-	h.announces = 2 * tick
+	h := newInstanceController(w, 6)
+	h.announceDelay = 2 * tick
 	w.run(200 * time.Millisecond)
 	for i, count := range []int{3, 5, 8} {
 		s := lasting(count, 1+i/2)
@@ -142,16 +142,16 @@
 		w.submit(fmt.Sprintf("lasting%d", i), s)
 	}
 	w.run(3 * time.Second)
-	h.waves = append(h.waves, dayWave(h, w.now))
+	h.waves = append(h.waves, maintenanceWave(h, w.now))
 	for round := range rounds {
 		if phase := round / 15; phase%2 == 0 {
 			w.submit(fmt.Sprintf("j%d", round), step(4+draw.IntN(12)))
 		}
 		switch draw.IntN(8) {
 		case 0, 1:
-			kinds[draw.IntN(len(kinds))].begin(w, h, draw)
+			kinds[draw.IntN(len(kinds))].inject(w, h, draw)
 		case 2:
-			calmDown(w, h)
+			clearFaults(w, h)
 		}
 		w.run(time.Duration(draw.IntN(60)) * tick)
 	}
@@ -159,7 +159,7 @@
 }
 
 // maintenanceWave returns a maintenance wave over every other instance.
-func dayWave(h *holder, now time.Time) *pool.Wave {
+func maintenanceWave(h *instanceController, now time.Time) *pool.Wave {
 	wave := &pool.Wave{
 		Wave: outside.Wave{
 			Number: 1,
@@ -169,7 +169,7 @@
 		Seen: now,
 		Done: make(map[string]bool),
 	}
-	for i, m := range h.machines {
+	for i, m := range h.instances {
 		if i%2 == 0 {
 			wave.Instances = append(wave.Instances, m.id)
 		}
--- a/shard/availability_world_test.go
+++ b/shard/availability_world_test.go
@@ -13,23 +13,23 @@
 // presence is the oracle's record of one task of a long-running step.
 type presence struct {
 	// lastAvailable is when the task was last available; zero if it never was.
-	last time.Time
+	lastAvailable time.Time
 
 	// endedByOrder says that an order has ended the task since then.
-	ordered bool
+	endedByOrder bool
 }
 
 // recordPresence records which long-running tasks are available.
-func (w *world) watchPresence() {
+func (w *world) recordPresence() {
 	for _, f := range w.workers {
 		if f.down {
 			continue
 		}
 		for id, r := range f.runs {
-			if r.step.Lasting && w.works(r) {
+			if r.step.Lasting && w.isRunAvailable(r) {
 				p := w.presenceOf(id)
-				p.last = w.now
-				p.ordered = false
+				p.lastAvailable = w.now
+				p.endedByOrder = false
 			}
 		}
 	}
@@ -45,39 +45,39 @@
 }
 
 // isRunAvailable reports whether a run counts as available.
-func (w *world) works(r *fakeRun) bool {
-	return r.stopAt.IsZero() && w.now.Sub(r.began) >= atWork
+func (w *world) isRunAvailable(r *fakeRun) bool {
+	return r.stopAt.IsZero() && w.now.Sub(r.began) >= availableAfter
 }
 
 // checkOrderedEnd records that an order ends a run. It reports a violation if the step already
 // misses as many other tasks as it may: those that an order ended, and those that have been
 // missing for noticeBound for any cause. An order that was delayed is not checked, but the task
 // that it ends counts as unavailable.
-func (w *world) judgeOrdered(f *fakeWorker, id job.TaskID, r *fakeRun, cause string, delayed bool) {
+func (w *world) checkOrderedEnd(f *fakeWorker, id job.TaskID, r *fakeRun, cause string, delayed bool) {
 	record, known := w.recordOf(id.Job)
-	state, _ := w.core.Known(id.Job)
-	if !known || state.Final() || !r.step.Lasting || !r.step.HasMayMiss || !w.works(r) {
+	state, _ := w.core.JobState(id.Job)
+	if !known || state.Final() || !r.step.Lasting || !r.step.HasMayMiss || !w.isRunAvailable(r) {
 		return
 	}
 	p := w.presenceOf(id)
-	p.last = w.now
-	p.ordered = true
-	if unavailable := w.othersAway(id, record.Spec.Steps[id.Step].Count); !delayed && !f.reg.Draining && unavailable >= max(1, r.step.MayMiss) {
-		w.fault("%s is ended on %s by %s while %d other tasks of its step are unavailable, and it may miss %d", id, f.reg.ID, cause, unavailable, r.step.MayMiss)
+	p.lastAvailable = w.now
+	p.endedByOrder = true
+	if unavailable := w.otherUnavailable(id, record.Spec.Steps[id.Step].Count); !delayed && !f.reg.Draining && unavailable >= max(1, r.step.MayMiss) {
+		w.addViolation("%s is ended on %s by %s while %d other tasks of its step are unavailable, and it may miss %d", id, f.reg.ID, cause, unavailable, r.step.MayMiss)
 	}
 }
 
 // otherUnavailable counts the unavailable tasks of a step other than the given one.
-func (w *world) othersAway(id job.TaskID, count int) int {
+func (w *world) otherUnavailable(id job.TaskID, count int) int {
 	unavailable := 0
 	for index := range count {
 		other := id
 		other.Index = index
 		p, found := w.presences[other]
-		if index == id.Index || !found || w.isAtWork(other) {
+		if index == id.Index || !found || w.isTaskAvailable(other) {
 			continue
 		}
-		if p.ordered || w.now.Sub(p.last) >= noticeBound {
+		if p.endedByOrder || w.now.Sub(p.lastAvailable) >= noticeBound {
 			unavailable++
 		}
 	}
@@ -85,9 +85,9 @@
 }
 
 // isTaskAvailable reports whether the task is available on a worker that has not ended.
-func (w *world) isAtWork(id job.TaskID) bool {
+func (w *world) isTaskAvailable(id job.TaskID) bool {
 	for _, f := range w.workers {
-		if r, found := f.runs[id]; found && !f.down && w.works(r) {
+		if r, found := f.runs[id]; found && !f.down && w.isRunAvailable(r) {
 			return true
 		}
 	}
--- a/shard/batch.go
+++ b/shard/batch.go
@@ -11,20 +11,20 @@
 	// entriesPerProgress is the maximum number of transaction entries for one progress row:
 	// the row itself, the removal of the job's record, and the removal of the request for
 	// its cancellation.
-	progressEntries = 3
+	entriesPerProgress = 3
 
 	// entriesPerRecord is the number of transaction entries for one record: the record
 	// itself, and the condition that it does not exist yet.
-	recordEntries = 2
+	entriesPerRecord = 2
 
 	// maxRecordBytes bounds the size of all records of one batch. It is half of the
 	// platform's limit for one transaction.
-	recordBytes = 512 << 10
+	maxRecordBytes = 512 << 10
 )
 
 // MaxSubmitted bounds the jobs whose record waits for a batch. It is what an owner writes in about
 // a second under normal load, and several times what callers wait for.
-const SubmittedMost = 4096
+const MaxSubmitted = 4096
 
 // Batch holds the rows to be written in one transaction.
 type Batch struct {
@@ -36,19 +36,19 @@
 
 	// Refused are refused jobs; the write requires that none of them has a record.
 	// ExpiredRefusals are the ids of jobs whose refusal is removed.
-	Refused []Refused
-	Lifted  []string
+	Refused         []Refused
+	ExpiredRefusals []string
 
 	// number is the number of the batch. complete says that it leaves out no progress row
 	// that was due.
-	number int64
-	whole  bool
+	number   int64
+	complete bool
 }
 
 // IsComplete reports whether, once the batch is written, every end that was handled before it was
 // built is stored.
-func (b Batch) Whole() bool {
-	return b.whole
+func (b Batch) IsComplete() bool {
+	return b.complete
 }
 
 // Existing is a record that was already stored when a batch tried to write it.
@@ -64,53 +64,53 @@
 
 	// RemoveRecord says that the record of the job is removed, RemoveCancelRequest that the
 	// row that requests its cancellation is.
-	EndsRecord bool
-	EndsCancel bool
+	RemoveRecord        bool
+	RemoveCancelRequest bool
 
 	// RemoveProgress says that the progress row is removed instead of written.
-	Forget bool
+	RemoveProgress bool
 }
 
 // SubmitResult is the outcome of Submit.
-type Answer struct {
+type SubmitResult struct {
 	// Accepted says that the job's record is stored. If it is false, the job was certainly not
 	// accepted.
-	Taken bool
+	Accepted bool
 
 	// Refused says that the service has so much work that the job could not end in a useful
 	// time. RetryAfter is how long the caller waits before it submits the job again.
-	Refused  bool
-	ComeBack time.Duration
+	Refused    bool
+	RetryAfter time.Duration
 }
 
 // Submit submits a job to this owner. It calls done once the job's record is stored, or once the
 // job is certainly not accepted. No task of the job starts before the record is stored.
-func (s *Shard) Submit(record Record, now time.Time, done func(Answer)) {
+func (s *Shard) Submit(record Record, now time.Time, done func(SubmitResult)) {
 	j, known := s.jobs[record.ID]
 	if !known {
-		if s.answerRefused(record, now, done) {
+		if s.answerIfRefused(record, now, done) {
 			return
 		}
-		if verdict := s.admit(record, now); !verdict.Take {
+		if verdict := s.admit(record, now); !verdict.Accept {
 			s.refuse(record, verdict, now, done)
 			return
 		}
-		record.AcceptedMillis = s.firstRead(record)
+		record.AcceptedMillis = s.firstReadMillis(record)
 	}
 	switch {
-	case !known && len(s.submitted) >= SubmittedMost:
-		done(Answer{})
+	case !known && len(s.submitted) >= MaxSubmitted:
+		done(SubmitResult{})
 	case !known:
-		j = s.add(record)
+		j = s.addJob(record)
 		j.unwritten = true
 		j.submitted = true
-		j.handed = append(j.handed, done)
+		j.submitWaiters = append(j.submitWaiters, done)
 		s.submitted = append(s.submitted, j)
 	case j.unwritten:
-		j.handed = append(j.handed, done)
+		j.submitWaiters = append(j.submitWaiters, done)
 	default:
-		done(Answer{
-			Taken: true,
+		done(SubmitResult{
+			Accepted: true,
 		})
 	}
 }
@@ -124,46 +124,46 @@
 			offered = append(offered, j)
 			continue
 		}
-		s.countPending(j, -1)
+		s.addPending(j, -1)
 		delete(s.jobs, j.record.ID)
-		j.answerHanded(false)
+		j.answerSubmitters(false)
 	}
 	s.submitted = offered
-	s.DropRefusals()
+	s.DropPendingRefusals()
 }
 
 // NextBatch returns the next batch to write, with at most the given number of entries; false means
 // that there is nothing to write. The caller must answer with BatchWritten or UndoBatch, or send
 // the batch again until it is written. While the outcome of a batch is unknown, no other batch may
 // be written.
-func (s *Shard) TakeBatch(entries int, now time.Time) (Batch, bool) {
-	if len(s.dirty) == 0 && len(s.removed) == 0 && len(s.submitted) == 0 && len(s.refusing) == 0 {
+func (s *Shard) NextBatch(entries int, now time.Time) (Batch, bool) {
+	if len(s.dirty) == 0 && len(s.removedJobs) == 0 && len(s.submitted) == 0 && len(s.refusing) == 0 {
 		return Batch{}, false
 	}
 	var b Batch
-	entries -= s.takeRefusals(&b, entries/2, now)
+	entries -= s.addRefusals(&b, entries/2, now)
 	forRecords := entries
 	if len(s.dirty) > 0 {
 		forRecords = entries / 2
 	}
-	entries -= recordEntries * s.takeRecords(&b, forRecords/recordEntries)
-	entries -= progressEntries * s.takeProgress(&b, entries/progressEntries)
-	s.takeRemoved(&b, entries)
+	entries -= entriesPerRecord * s.addRecords(&b, forRecords/entriesPerRecord)
+	entries -= entriesPerProgress * s.addProgress(&b, entries/entriesPerProgress)
+	s.addRemoved(&b, entries)
 	return b, true
 }
 
 // allWritten reports whether the progress of every job is stored as it is in memory.
 func (s *Shard) allWritten() bool {
-	return len(s.dirty) == 0 && s.done == s.batch
+	return len(s.dirty) == 0 && s.writtenBatch == s.lastBatch
 }
 
 // addRecords moves records of submitted jobs into a batch and returns their number.
-func (s *Shard) takeRecords(b *Batch, most int) int {
+func (s *Shard) addRecords(b *Batch, most int) int {
 	size := 0
 	for len(s.submitted) > 0 && len(b.Records) < most {
 		j := s.submitted[0]
 		size += len(j.record.Encode())
-		if size > recordBytes && len(b.Records) > 0 {
+		if size > maxRecordBytes && len(b.Records) > 0 {
 			break
 		}
 		s.submitted = s.submitted[1:]
@@ -174,101 +174,101 @@
 }
 
 // addProgress moves due progress rows into a batch and returns their number.
-func (s *Shard) takeProgress(b *Batch, most int) int {
+func (s *Shard) addProgress(b *Batch, most int) int {
 	ids := make([]string, 0, len(s.dirty))
 	for id := range s.dirty {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
-	b.whole = len(ids) <= most
-	if b.whole {
-		s.batch++
+	b.complete = len(ids) <= most
+	if b.complete {
+		s.lastBatch++
 	} else {
 		ids = ids[:most]
 	}
-	b.number = s.batch
+	b.number = s.lastBatch
 	for _, id := range ids {
 		j := s.dirty[id]
 		delete(s.dirty, id)
 		b.Writes = append(b.Writes, Write{
-			ID:         id,
-			Progress:   j.progress(),
-			EndsRecord: j.state.Final(),
-			EndsCancel: j.state.Final() && j.cancelRow,
+			ID:                  id,
+			Progress:            j.progress(),
+			RemoveRecord:        j.state.Final(),
+			RemoveCancelRequest: j.state.Final() && j.cancelRow,
 		})
 	}
 	return len(ids)
 }
 
 // addRemoved moves the removal of progress rows of forgotten jobs into a batch.
-func (s *Shard) takeRemoved(b *Batch, most int) {
-	for n := 0; n < most && len(s.removed) > 0; n++ {
+func (s *Shard) addRemoved(b *Batch, most int) {
+	for n := 0; n < most && len(s.removedJobs) > 0; n++ {
 		b.Writes = append(b.Writes, Write{
-			ID:     s.removed[0],
-			Forget: true,
+			ID:             s.removedJobs[0],
+			RemoveProgress: true,
 		})
-		s.removed = s.removed[1:]
+		s.removedJobs = s.removedJobs[1:]
 	}
 }
 
 // BatchWritten handles the successful write of a batch: states may be published, ends acknowledged
 // to workers, and submitted jobs started.
-func (s *Shard) Written(b Batch, now time.Time) {
-	if b.whole {
-		s.done = b.number
+func (s *Shard) BatchWritten(b Batch, now time.Time) {
+	if b.complete {
+		s.writtenBatch = b.number
 	}
-	s.refusalsWritten(b, now)
+	s.confirmRefusals(b, now)
 	for _, record := range b.Records {
 		if j := s.jobs[record.ID]; j != nil && j.unwritten {
-			s.recordStands(j, now)
+			s.recordStored(j, now)
 		}
 	}
 	for _, w := range b.Writes {
-		s.writtenProgress(w, now)
+		s.progressStored(w, now)
 	}
 	for _, w := range s.workers {
-		if w.acked < w.acknowledgeable() && s.done >= w.ackBatch && w.look == 0 && w.failures == 0 {
-			w.holdAt = now
+		if w.acked < w.lastAcknowledgeable() && s.writtenBatch >= w.ackBatch && w.pollCall == 0 && w.failures == 0 {
+			w.nextPollAt = now
 		}
 	}
 }
 
 // recordStored handles that the record of a job that was submitted here is stored. No earlier owner
 // can have seen the job, unless one wrote it to the standby partition.
-func (s *Shard) recordStands(j *jobState, now time.Time) {
+func (s *Shard) recordStored(j *jobState, now time.Time) {
 	j.unwritten = false
 	j.fresh = !s.standbyUnread
-	j.answerHanded(true)
-	s.opts.Report("job taken", "job", j.record.ID, "route", j.record.Route, "organisation", j.record.Organisation, "fresh", j.fresh,
-		"age_ms", now.Sub(j.record.accepted()).Milliseconds())
+	j.answerSubmitters(true)
+	s.opts.LogEvent("job taken", "job", j.record.ID, "route", j.record.Route, "organisation", j.record.Organisation, "fresh", j.fresh,
+		"age_ms", now.Sub(j.record.acceptedAt()).Milliseconds())
 	if j.state.Final() {
 		return
 	}
-	s.opts.Show(j.record.ID, job.Queued)
+	s.opts.PublishState(j.record.ID, job.Queued)
 	s.schedule(j, now)
-	s.cancelAwaited(j.record.ID, now)
+	s.applyDeferredCancel(j.record.ID, now)
 }
 
 // progressStored handles that a progress row is stored.
-func (s *Shard) writtenProgress(w Write, now time.Time) {
+func (s *Shard) progressStored(w Write, now time.Time) {
 	j := s.jobs[w.ID]
-	if w.Forget || j == nil {
+	if w.RemoveProgress || j == nil {
 		return
 	}
 	if !w.Progress.State.Final() {
 		// The final state may have been published from the standby partition meanwhile.
 		if !j.state.Final() {
-			s.opts.Show(w.ID, w.Progress.State)
+			s.opts.PublishState(w.ID, w.Progress.State)
 		}
 		return
 	}
-	j.settled = true
-	s.tellEnd(j, w.Progress.State, now)
+	j.finalStored = true
+	s.publishEnd(j, w.Progress.State, now)
 }
 
 // UndoBatch takes back a batch that certainly was not written, because some of its records or
 // refusals conflicted with stored records.
-func (s *Shard) Undo(b Batch, existing []Existing, now time.Time) {
+func (s *Shard) UndoBatch(b Batch, existing []Existing, now time.Time) {
 	stand := make(map[string]Existing, len(existing))
 	for _, e := range existing {
 		stand[e.Record.ID] = e
@@ -280,7 +280,7 @@
 			continue
 		}
 		if e, found := stand[record.ID]; found {
-			s.adopt(j, e, now)
+			s.adoptExisting(j, e, now)
 			continue
 		}
 		if j.state.Final() {
@@ -291,31 +291,31 @@
 		s.submitted = append(s.submitted, j)
 	}
 	for _, w := range b.Writes {
-		if j := s.jobs[w.ID]; j != nil && !w.Forget {
+		if j := s.jobs[w.ID]; j != nil && !w.RemoveProgress {
 			s.dirty[w.ID] = j
-		} else if w.Forget {
-			s.removed = append(s.removed, w.ID)
+		} else if w.RemoveProgress {
+			s.removedJobs = append(s.removedJobs, w.ID)
 		}
 	}
 }
 
 // adoptExisting replaces a submitted job by the one whose record another entry has stored. A
 // previous owner may know of that job.
-func (s *Shard) adopt(j *jobState, e Existing, now time.Time) {
+func (s *Shard) adoptExisting(j *jobState, e Existing, now time.Time) {
 	if j.state.Final() {
 		// The job was cancelled meanwhile; the write of its final state removes the record.
 		j.unwritten = false
-		j.answerHanded(true)
+		j.answerSubmitters(true)
 		return
 	}
-	waiting := j.handed
-	s.countPending(j, -1)
+	waiting := j.submitWaiters
+	s.addPending(j, -1)
 	delete(s.jobs, j.record.ID)
 	s.Accept(e.Record, e.Version, false, now)
-	s.jobs[j.record.ID].asked = append(s.jobs[j.record.ID].asked, j.asked...)
+	s.jobs[j.record.ID].cancelWaiters = append(s.jobs[j.record.ID].cancelWaiters, j.cancelWaiters...)
 	for _, done := range waiting {
-		done(Answer{
-			Taken: true,
+		done(SubmitResult{
+			Accepted: true,
 		})
 	}
 }
@@ -336,11 +336,11 @@
 }
 
 // answerSubmitters reports to the pending Submit calls of a job whether it was accepted.
-func (j *jobState) answerHanded(taken bool) {
-	for _, done := range j.handed {
-		done(Answer{
-			Taken: taken,
+func (j *jobState) answerSubmitters(taken bool) {
+	for _, done := range j.submitWaiters {
+		done(SubmitResult{
+			Accepted: taken,
 		})
 	}
-	j.handed = nil
+	j.submitWaiters = nil
 }
--- a/shard/batch_test.go
+++ b/shard/batch_test.go
@@ -11,12 +11,12 @@
 	"lemonstream.dev/lemonstream/shard"
 )
 
-func TestJobHandedInStartsOnceItsRecordStands(t *testing.T) {
+func TestSubmittedJobStartsOnceItsRecordIsStored(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
-	w.handIn("a", step(2))
+	w.submitToOwner("a", step(2))
 	w.run(2 * time.Second)
 	_, answered := w.taken["a"]
 	is.True(!answered)
@@ -29,12 +29,12 @@
 	w.check(t) // The oracle reports a start before the record is stored.
 }
 
-func TestManyJobsHandedInShareTransactions(t *testing.T) {
+func TestSubmittedJobsShareTransactions(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
 	w.run(200 * time.Millisecond)
 	for i := 0; i < 40; i++ {
-		w.handIn(fmt.Sprintf("j%02d", i), step(1))
+		w.submitToOwner(fmt.Sprintf("j%02d", i), step(1))
 	}
 	w.run(300 * time.Millisecond)
 	is.Equal(len(w.taken), 40)
@@ -43,14 +43,14 @@
 	w.check(t)
 }
 
-func TestQueuedJobsAreRefusedWhileTheStoreTakesNothing(t *testing.T) {
+func TestQueuedJobsAreRefusedWhileStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
-	w.handIn("a", step(1))
+	w.submitToOwner("a", step(1))
 	w.run(50 * time.Millisecond) // The write of the record has no answer yet.
-	w.handIn("b", step(1))
+	w.submitToOwner("b", step(1))
 	w.core.RefuseSubmitted()
 	taken, answered := w.taken["b"]
 	is.True(answered && !taken)
@@ -59,29 +59,29 @@
 	w.storeDown = false
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
-	is.True(!w.stood["b"]) // A refused job never runs.
+	is.True(!w.stored["b"]) // A refused job never runs.
 	is.Equal(w.core.Pending()["q"], 0)
 	w.check(t)
 }
 
-func TestJobsBeyondTheBoundAreRefused(t *testing.T) {
+func TestJobsBeyondMaxSubmittedAreRefused(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
-	for i := 0; i <= shard.SubmittedMost; i++ {
-		w.handIn(fmt.Sprintf("j%04d", i), step(1))
+	for i := 0; i <= shard.MaxSubmitted; i++ {
+		w.submitToOwner(fmt.Sprintf("j%04d", i), step(1))
 	}
 	is.Equal(len(w.taken), 1) // All other jobs wait for the store.
-	is.True(!w.taken[fmt.Sprintf("j%04d", shard.SubmittedMost)])
+	is.True(!w.taken[fmt.Sprintf("j%04d", shard.MaxSubmitted)])
 }
 
-func TestJobThatAnEntryWroteMeanwhileIsOneJob(t *testing.T) {
+func TestJobAlsoWrittenByAnEntryIsOneJob(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("a", step(1))
-	w.handIn("b", step(1))
+	w.submitToOwner("a", step(1))
+	w.submitToOwner("b", step(1))
 	w.store(w.record("a", step(1)))
 	w.run(3 * time.Second)
 	is.True(w.taken["a"])
@@ -92,23 +92,23 @@
 	w.check(t)
 }
 
-func TestJobHandedInTwiceIsOneJob(t *testing.T) {
+func TestJobSubmittedTwiceIsOneJob(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("a", step(1))
-	w.handIn("a", step(1))
+	w.submitToOwner("a", step(1))
+	w.submitToOwner("a", step(1))
 	w.run(3 * time.Second)
 	is.True(w.taken["a"])
 	w.taken["a"] = false
-	w.handIn("a", step(1))
+	w.submitToOwner("a", step(1))
 	is.True(w.taken["a"]) // The job has ended and the owner still knows it.
 	w.run(time.Second)
 	is.Equal(len(w.records), 0)
 	w.check(t)
 }
 
-func TestJobWithdrawnBeforeItsRecordStandsNeverRuns(t *testing.T) {
+func TestJobCancelledBeforeItsRecordIsStoredNeverRuns(t *testing.T) {
 	cases := map[string]time.Duration{
 		"no batch holds it": 0,
 		"it is under way":   2 * tick,
@@ -119,7 +119,7 @@
 			w := newWorld(2)
 			w.run(200 * time.Millisecond)
 			w.storeDown = true
-			w.handIn("a", step(1))
+			w.submitToOwner("a", step(1))
 			w.run(wait)
 			cancelled := false
 			is.True(w.core.Cancel("a", w.now, func() { cancelled = true }))
@@ -137,21 +137,21 @@
 
 // TestCancelledJobIsNotWrittenAgain cancels a job while the batch with its record is being written,
 // and then undoes the batch. Only the final state of the job is written afterwards.
-func TestWithdrawnJobIsNotOfferedAgain(t *testing.T) {
+func TestCancelledJobIsNotWrittenAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
-	w.handIn("a", step(1))
-	b, found := w.core.TakeBatch(testEntries, w.now)
+	w.submitToOwner("a", step(1))
+	b, found := w.core.NextBatch(testBatchEntries, w.now)
 	is.True(found)
 	is.Equal(len(b.Records), 1)
 	is.True(w.cancel("a"))
-	w.core.Undo(b, nil, w.now)
-	b, found = w.core.TakeBatch(testEntries, w.now)
+	w.core.UndoBatch(b, nil, w.now)
+	b, found = w.core.NextBatch(testBatchEntries, w.now)
 	is.True(found)
 	is.Equal(len(b.Records), 0)
 	is.Equal(len(b.Writes), 1)
-	w.core.Written(b, w.now)
+	w.core.BatchWritten(b, w.now)
 	is.True(w.taken["a"])
 	is.Equal(w.shown["a"], job.Cancelled)
 }
--- a/shard/calls.go
+++ b/shard/calls.go
@@ -6,13 +6,13 @@
 )
 
 // TicketRequest is an order to request tickets with which workers may run a step.
-type Ask struct {
+type TicketRequest struct {
 	Step    string
 	Workers []string
 }
 
 // Poll is an order to renew a worker's leases and to read its runs and ends.
-type Hold struct {
+type Poll struct {
 	// Call is the number of the order, unique for this owner.
 	Call    int64
 	Worker  outside.WorkerRef
@@ -24,7 +24,7 @@
 type Orders struct {
 	Starts []Start
 	Stops  []Stop
-	Holds  []Hold
+	Polls  []Poll
 
 	Lookups []Lookup
 
@@ -32,7 +32,7 @@
 	Paces []Pace
 
 	// Each ticket request is answered by one call of TicketsReceived.
-	Asks []Ask
+	TicketRequests []TicketRequest
 }
 
 // Pace is an order to let a run work at a percentage of its full speed.
@@ -66,13 +66,13 @@
 // still awaited: one that arrives after its worker was given up or has restarted says nothing about
 // the incarnation that is known by then.
 func (s *Shard) nextCall() int64 {
-	s.calls++
-	return s.calls
+	s.lastCall++
+	return s.lastCall
 }
 
 // awaitingRun returns the run that awaits the answer to an order, and ends its wait; nil if no run
 // awaits it any more.
-func (s *Shard) answered(worker string, task job.TaskID, call int64) *run {
+func (s *Shard) awaitingRun(worker string, task job.TaskID, call int64) *run {
 	w, found := s.workers[worker]
 	if !found {
 		return nil
--- a/shard/cancellation_test.go
+++ b/shard/cancellation_test.go
@@ -26,7 +26,7 @@
 
 // TestStandbyJobIsCancelledByRow covers a cancellation that is stored as a row while the job's
 // record is in the standby partition. The owner reads that partition later than the row.
-func TestWithdrawnJobThatOnlyTheStandbyPartHolds(t *testing.T) {
+func TestStandbyJobIsCancelledByRow(t *testing.T) {
 	for name, before := range map[string]bool{
 		"cancelled before the takeover":                         true,
 		"cancelled after it, and before the partition was read": false,
@@ -37,12 +37,12 @@
 			w.run(200 * time.Millisecond)
 			w.storeDown = true
 			w.standbyOn = true
-			w.handIn("a", lasting(2, 1))
+			w.submitToOwner("a", lasting(2, 1))
 			w.run(time.Second)
 			is.Equal(w.running("a"), 2)
 			w.removeOwner()
 			w.storeDown = false
-			w.standbyAway = true
+			w.standbyDown = true
 			w.run(500 * time.Millisecond)
 			if before {
 				w.cancelByRow("a")
@@ -53,7 +53,7 @@
 				w.cancelByRow("a")
 			}
 			w.run(1500 * time.Millisecond) // The owner has read the row by now.
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(5 * time.Second)
 			is.Equal(w.running("a"), 0)
 			is.Equal(w.shown["a"], job.Cancelled)
@@ -65,14 +65,14 @@
 
 // TestCancellationReadBeforeItsJob covers an owner that has lost the history of the rows and reads
 // all of them. Rows are read in the order of their keys, and cancellations sort before many jobs.
-func TestWithdrawalThatIsReadBeforeItsJob(t *testing.T) {
+func TestCancellationReadBeforeItsJob(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	record := w.record("f", lasting(1, 1))
 	w.store(record)
 	w.cancelRows["f"] = true
-	w.acknowledgeCancel("f")
+	w.confirmCancel("f")
 	w.core.CancelByRow("f", w.now)
 	w.core.Accept(record, w.version, false, w.now)
 	w.run(5 * time.Second)
@@ -84,13 +84,13 @@
 
 // TestCancellationReadBeforeItsJobIsSubmitted covers the same with a caller that submits the job
 // again to the owner, which has not read its record.
-func TestWithdrawalThatIsReadBeforeItsJobIsHandedIn(t *testing.T) {
+func TestCancellationReadBeforeItsJobIsSubmitted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.cancelRows["f"] = true
 	w.core.CancelByRow("f", w.now)
-	w.handIn("f", lasting(1, 1))
+	w.submitToOwner("f", lasting(1, 1))
 	w.run(5 * time.Second)
 	is.True(w.taken["f"])
 	is.Equal(w.running("f"), 0)
@@ -102,7 +102,7 @@
 // TestRefusedRetryDoesNotRuleOutFirstStart covers an unanswered start whose retry is refused after
 // the job was cancelled. The first start may still take effect, unless the worker is told to stop
 // the run.
-func TestRepeatedStartThatIsRefusedMayYetHaveBegun(t *testing.T) {
+func TestRefusedRetryDoesNotRuleOutFirstStart(t *testing.T) {
 	for name, answer := range map[string]error{
 		"no room": &outside.WorkerRefusedError{
 			Reason: outside.RefusedRoom,
@@ -118,10 +118,10 @@
 			is := is.New(t)
 			w := newWorld(1)
 			w.run(200 * time.Millisecond)
-			w.lose = 2 * time.Second
+			w.startDelay = 2 * time.Second
 			w.submit("a", lasting(1, 1))
 			w.run(600 * time.Millisecond)
-			w.refuseStarts = answer
+			w.startError = answer
 			w.run(120 * time.Millisecond) // The first start was not answered; its retry is in flight.
 			is.True(w.cancel("a"))
 			w.run(10 * time.Second)
@@ -133,9 +133,9 @@
 
 // TestListedRunIsKeptWhenItsRetriedStartFails covers an unanswered start that takes effect while
 // its retry is in flight. A poll lists the run, and then the retry gets no answer or is refused.
-func TestListedRunIsKeptWhateverItsRepeatedStartMeets(t *testing.T) {
+func TestListedRunIsKeptWhenItsRetriedStartFails(t *testing.T) {
 	for name, answer := range map[string]error{
-		"no answer": errSilent,
+		"no answer": errNoAnswer,
 		"unhealthy": &outside.WorkerRefusedError{
 			Reason: outside.RefusedUnhealthy,
 		},
@@ -144,11 +144,11 @@
 			is := is.New(t)
 			w := newWorld(1)
 			w.run(200 * time.Millisecond)
-			w.lose = time.Second
+			w.startDelay = time.Second
 			w.submit("a", lasting(2, 0))
 			w.run(600 * time.Millisecond)
-			w.refuseStarts = answer
-			w.refuseAfter = 700 * time.Millisecond
+			w.startError = answer
+			w.startErrorDelay = 700 * time.Millisecond
 			w.run(5 * time.Second)
 			is.Equal(w.running("a"), 2)
 			is.Equal(w.workers["w0"].began, 2)
@@ -158,13 +158,13 @@
 }
 
 // TestStopIsRetriedWhileItsRunIsListed covers a worker that confirms a stop without executing it.
-func TestStopIsGivenAgainWhileItsRunIsListed(t *testing.T) {
+func TestStopIsRetriedWhileItsRunIsListed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	w.submit("a", lasting(1, 1))
 	w.run(time.Second)
-	w.workers["w0"].deaf = 1
+	w.workers["w0"].ignoreStops = 1
 	is.True(w.cancel("a"))
 	w.run(4 * time.Second)
 	is.Equal(w.running("a"), 0)
@@ -173,17 +173,17 @@
 
 // TestSilentUnlistedWorkerIsPolledAgain covers a worker that is partitioned until its registration
 // is removed and its lease has expired, and then returns as the same incarnation.
-func TestWorkerThatWasSilentAndUnlistedIsLookedAtAgain(t *testing.T) {
+func TestSilentUnlistedWorkerIsPolledAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	f := w.workers["w0"]
-	f.cut = true
+	f.partitioned = true
 	f.unlisted = true
 	w.list()
 	w.run(testLease + 4*time.Second)
 	is.True(!w.used["w0"]) // The owner assumes that the worker has ended.
-	f.cut = false
+	f.partitioned = false
 	f.unlisted = false
 	w.list()
 	w.run(200 * time.Millisecond)
@@ -196,14 +196,14 @@
 
 // TestCancelledJobEndsAfterOwnerChange covers an owner that is removed with starts in flight. The
 // job is cancelled before the removal, without an owner (by a row), or after the takeover.
-func TestWithdrawnJobEndsWhoeverStartedIt(t *testing.T) {
+func TestCancelledJobEndsAfterOwnerChange(t *testing.T) {
 	for _, late := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 12 * time.Second} {
 		for _, when := range []string{"before", "without an owner", "after"} {
 			t.Run(fmt.Sprintf("starts %v late, cancelled %s", late, when), func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(3)
 				w.run(200 * time.Millisecond)
-				w.lose = late
+				w.startDelay = late
 				w.submit("a", lasting(4, 1))
 				w.run(30 * time.Millisecond)
 				if when == "before" {
@@ -215,7 +215,7 @@
 				if when == "without an owner" {
 					w.cancelByRow("a")
 				}
-				w.lose = 0
+				w.startDelay = 0
 				w.takeOver()
 				if when == "after" {
 					w.run(100 * time.Millisecond)
@@ -232,7 +232,7 @@
 
 // TestLateStartIsFoundInEveryWorkerState covers a start that takes effect after it timed out at
 // the owner, on a worker that is idle, unlisted, draining or closed.
-func TestLateStartIsFoundWhereverItsWorkerStands(t *testing.T) {
+func TestLateStartIsFoundInEveryWorkerState(t *testing.T) {
 	faults := map[string]func(w *world, f *fakeWorker){
 		"idle": func(*world, *fakeWorker) {},
 		"unlisted": func(w *world, f *fakeWorker) {
@@ -253,17 +253,17 @@
 			w := newWorld(1)
 			w.run(200 * time.Millisecond)
 			f := w.workers["w0"]
-			w.lose = 3 * time.Second
-			w.loseEach = 1
-			w.loseStops = 12 * time.Second // The stops that would prevent the run arrive even later.
+			w.startDelay = 3 * time.Second
+			w.unansweredStopEvery = 1
+			w.stopDelay = 12 * time.Second // The stops that would prevent the run arrive even later.
 			w.submit("a", lasting(1, 1))
 			w.run(20 * time.Millisecond)
 			is.True(w.cancel("a"))
 			fault(w, f)
 			w.run(2500 * time.Millisecond)
-			w.lose = 0
+			w.startDelay = 0
 			w.run(600 * time.Millisecond)
-			w.loseStops = 0
+			w.stopDelay = 0
 			w.run(8 * time.Second)
 			is.True(f.began > 0)
 			is.Equal(w.running("a"), 0)
@@ -275,20 +275,20 @@
 // TestRunsOfCancelledJobUseCapacityUntilTheyEnd covers an owner that is removed with stops in
 // flight, after the job's record was removed with its final state. The next owner finds the runs
 // and does not know their resources.
-func TestRunsOfWithdrawnJobTakeRoomUntilTheyEnd(t *testing.T) {
+func TestRunsOfCancelledJobUseCapacityUntilTheyEnd(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	w.submit("a", lasting(4, 1)) // The whole capacity of the worker.
 	w.run(time.Second)
 	is.Equal(w.running("a"), 4)
-	w.loseEach = 1
-	w.loseStops = 12 * time.Second
+	w.unansweredStopEvery = 1
+	w.stopDelay = 12 * time.Second
 	is.True(w.cancel("a"))
 	w.run(100 * time.Millisecond)
 	is.Equal(len(w.records), 0)
 	w.removeOwner()
-	w.loseStops = 0
+	w.stopDelay = 0
 	w.takeOver()
 	w.submit("b", step(4))
 	w.run(5 * time.Second)
@@ -302,7 +302,7 @@
 //	54.29349 stop ordered run=7 worker=m-0-5 reason="job failed"
 //	54.29530 stop ordered run=7 worker=m-0-5 reason="job failed"
 //	54.29674 stop ordered run=7 worker=m-0-5 reason="job failed"
-func TestStopIsNotRepeatedWithoutPause(t *testing.T) {
+func TestStopIsRetriedWithBackoff(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
--- a/shard/capacity_test.go
+++ b/shard/capacity_test.go
@@ -14,22 +14,22 @@
 
 // TestShrunkCapacityStopsNewStarts shrinks the capacity of every worker below the resources that
 // its runs take. Runs continue, and no task is started until enough of them have ended.
-func TestShrunkRoomTakesNothingMore(t *testing.T) {
+func TestShrunkCapacityStopsNewStarts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.submit("a", step(6))
 	w.run(100 * time.Millisecond)
-	is.Equal(starts(w), 6)
+	is.Equal(totalStarts(w), 6)
 	for _, f := range w.workers {
 		f.reg.Capacity.MilliCPU = 2000
 	}
 	w.list()
 	w.submit("b", step(2))
 	w.run(500 * time.Millisecond)
-	is.Equal(starts(w), 6)
+	is.Equal(totalStarts(w), 6)
 	w.run(time.Second)
-	is.Equal(starts(w), 8)
+	is.Equal(totalStarts(w), 8)
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
 	is.Equal(w.shown["b"], job.Completed)
@@ -38,7 +38,7 @@
 
 // TestNoStartExceedsChangingCapacity changes capacities at any moment, amid takeovers. The
 // oracle reports a start that exceeds the capacity that the worker itself reports.
-func TestNoStartBeyondARoomThatChanges(t *testing.T) {
+func TestNoStartExceedsChangingCapacity(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(4)
 		w.run(200 * time.Millisecond)
--- a/shard/crash_measure_test.go
+++ b/shard/crash_measure_test.go
@@ -15,23 +15,23 @@
 const (
 	// crashSeedsVariable names the environment variable with the number of simulation runs. The
 	// default is enough to check the bounds.
-	seedsVariable = "CRASH_SEEDS"
-	defaultSeeds  = 4
+	crashSeedsVariable = "CRASH_SEEDS"
+	defaultCrashSeeds  = 4
 
 	// measuredTasks is the number of tasks in a simulation run.
 	measuredTasks = 1000
 )
 
 // crashStats holds the results of one simulation run.
-type crashDay struct {
+type crashStats struct {
 	// crashes holds the number of workers that each culprit crashed.
 	crashes []int
 
 	// failedBystanders is the number of bystander jobs that were given up.
-	innocents int
+	failedBystanders int
 
 	// meanDuration is the mean time from acceptance to the end of bystander jobs.
-	waited time.Duration
+	meanDuration time.Duration
 }
 
 // TestCulpritsAmongManyInnocents does simulation runs of a thousand tasks, 1 to 20 of which crash
@@ -39,8 +39,8 @@
 // cause. A culprit may crash three workers and two more whose crashes owners may not have seen. No
 // bystander job may be given up. CRASH_SEEDS sets the number of runs.
 func TestCulpritsAmongManyInnocents(t *testing.T) {
-	seeds := defaultSeeds
-	if text := os.Getenv(seedsVariable); text != "" {
+	seeds := defaultCrashSeeds
+	if text := os.Getenv(crashSeedsVariable); text != "" {
 		var err error
 		if seeds, err = strconv.Atoi(text); err != nil {
 			t.Fatal(err)
@@ -50,27 +50,27 @@
 	failedBystanders, most := 0, 0
 	var meanDuration time.Duration
 	for seed := range uint64(seeds) {
-		stats := measureCrashes(t, seed)
+		stats := simulateCrashes(t, seed)
 		crashes = append(crashes, stats.crashes...)
-		failedBystanders += stats.innocents
-		meanDuration += stats.waited / time.Duration(seeds)
+		failedBystanders += stats.failedBystanders
+		meanDuration += stats.meanDuration / time.Duration(seeds)
 		most = max(most, slices.Max(stats.crashes))
 	}
 	slices.Sort(crashes)
 	t.Logf("seeds=%d culprits=%d crashes_mean=%.2f crashes_median=%d crashes_most=%d innocent_jobs_given_up=%d innocent_wait_ms=%d",
 		seeds, len(crashes), mean(crashes), crashes[len(crashes)/2], most, failedBystanders, meanDuration.Milliseconds())
-	if failedBystanders > 0 || most > crashBound+startsAfter {
+	if failedBystanders > 0 || most > maxCrashesPerTask+maxExtraStarts {
 		t.Errorf("%d bystander jobs given up, %d workers crashed under one task", failedBystanders, most)
 	}
 }
 
 // simulateCrashes does one simulation run.
-func measureCrashes(t *testing.T, seed uint64) crashDay {
+func simulateCrashes(t *testing.T, seed uint64) crashStats {
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(25)
-	w.lenient = true
-	w.backAfter = 3 * time.Second
+	w.allowExtraStarts = true
+	w.restartDelay = 3 * time.Second
 	w.run(200 * time.Millisecond)
 	culprits := 1 + draw.IntN(20)
 	accepted := make(map[string]time.Time)
@@ -98,21 +98,21 @@
 		case 1:
 			w.release(20 * tick)
 		case 2, 3:
-			workerIDs := w.names()
-			w.crashUnder(w.workers[workerIDs[draw.IntN(len(workerIDs))]])
+			workerIDs := w.workerIDs()
+			w.crashWorker(w.workers[workerIDs[draw.IntN(len(workerIDs))]])
 		}
-		noteEnded(w, ended)
+		recordEnded(w, ended)
 	}
 	for range 60 {
 		w.run(500 * time.Millisecond)
-		noteEnded(w, ended)
+		recordEnded(w, ended)
 	}
 	w.check(t)
-	return w.crashDay(accepted, ended)
+	return w.crashStats(accepted, ended)
 }
 
 // recordEnded records when each job was first seen to have ended.
-func noteEnded(w *world, ended map[string]time.Time) {
+func recordEnded(w *world, ended map[string]time.Time) {
 	for id, state := range w.shown {
 		if _, noted := ended[id]; state.Final() && !noted {
 			ended[id] = w.now
@@ -121,8 +121,8 @@
 }
 
 // crashStats computes the results of a simulation run.
-func (w *world) crashDay(accepted, ended map[string]time.Time) crashDay {
-	var stats crashDay
+func (w *world) crashStats(accepted, ended map[string]time.Time) crashStats {
+	var stats crashStats
 	culpritJobs := make(map[string]bool)
 	for id := range w.culprits {
 		culpritJobs[id.Job] = true
@@ -133,13 +133,13 @@
 		switch {
 		case culpritJobs[id]:
 		case w.shown[id] != job.Completed:
-			stats.innocents++
+			stats.failedBystanders++
 		default:
 			sum += ended[id].Sub(at)
 			count++
 		}
 	}
-	stats.waited = sum / time.Duration(count)
+	stats.meanDuration = sum / time.Duration(count)
 	return stats
 }
 
--- a/shard/crash_test.go
+++ b/shard/crash_test.go
@@ -52,7 +52,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(12)
-			w.backAfter = test.back
+			w.restartDelay = test.back
 			w.run(200 * time.Millisecond)
 			bad := step(3)
 			bad.Speculative = test.speculative
@@ -87,10 +87,10 @@
 
 // TestRecordedCrashesOutlastTheirOwner replaces the owner after each crash. Crashes are stored in
 // the job's row, so that the next owner counts them.
-func TestCrashesCountAcrossOwners(t *testing.T) {
+func TestRecordedCrashesOutlastTheirOwner(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(6)
-	w.backAfter = 2 * time.Second
+	w.restartDelay = 2 * time.Second
 	w.culprits[job.TaskID{
 		Job: "bad",
 	}] = tick
@@ -116,10 +116,10 @@
 	w.submit("a", slow)
 	for range 5 {
 		w.run(time.Second)
-		f := holderOf(w, "a")[0]
-		f.cut = true
+		f := reachableWorkersOf(w, "a")[0]
+		f.partitioned = true
 		w.run(testLease + 2*time.Second)
-		f.cut = false
+		f.partitioned = false
 	}
 	w.run(70 * time.Second)
 	w.check(t)
@@ -136,18 +136,18 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(4)
-			w.backAfter = time.Second
+			w.restartDelay = time.Second
 			w.run(200 * time.Millisecond)
 			slow := step(1)
 			slow.Estimate = 20 * time.Second
 			w.submit("a", slow)
 			for range 5 {
 				w.run(time.Second)
-				f := holderOf(w, "a")[0]
+				f := reachableWorkersOf(w, "a")[0]
 				announce(f)
 				w.list()
 				w.run(time.Second)
-				w.loseWorker(f)
+				w.failWorker(f)
 				w.run(4 * time.Second)
 			}
 			w.run(30 * time.Second)
@@ -161,10 +161,10 @@
 // tasks for another cause, four seconds after each start. A task was given up after the third
 // crash, and the other tasks of its job were stopped all at once. A task that crashes its workers
 // at the start is not started again; the other tasks of its step keep running.
-func TestLastingTaskThatHasRunIsBeyondDoubt(t *testing.T) {
+func TestLongRunningTaskIsNotGivenUpAfterItHasRun(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(6)
-	w.backAfter = time.Second
+	w.restartDelay = time.Second
 	bad := job.TaskID{
 		Job:   "bad",
 		Index: 1,
@@ -177,7 +177,7 @@
 	is.Equal(w.crashes[bad], 3)
 	is.Equal(w.running("bad"), 2)
 	for range 6 {
-		w.loseWorker(holderOf(w, "a")[0])
+		w.failWorker(reachableWorkersOf(w, "a")[0])
 		w.run(6 * time.Second)
 	}
 	is.Equal(w.shown["a"], job.Running)
@@ -199,17 +199,17 @@
 func TestCulpritsUnderFaults(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(8)
-		w.lenient = true
-		w.backAfter = time.Duration(rapid.IntRange(50, 900).Draw(t, "back after")) * tick
+		w.allowExtraStarts = true
+		w.restartDelay = time.Duration(rapid.IntRange(50, 900).Draw(t, "back after")) * tick
 		w.run(200 * time.Millisecond)
 		for i := range rapid.IntRange(10, 30).Draw(t, "rounds") {
 			id := fmt.Sprintf("j%d", i)
-			f := w.workers[rapid.SampledFrom(w.names()).Draw(t, "worker")]
+			f := w.workers[rapid.SampledFrom(w.workerIDs()).Draw(t, "worker")]
 			switch rapid.IntRange(0, 13).Draw(t, "what") {
 			case 0:
-				f.cut = true
+				f.partitioned = true
 			case 1, 2:
-				f.cut = false
+				f.partitioned = false
 			case 3, 4:
 				// No owner takes over while the store is down.
 				w.storeDown = false
@@ -221,7 +221,7 @@
 			case 5:
 				w.storeDown = rapid.Bool().Draw(t, "down")
 			case 6:
-				w.crashUnder(f)
+				w.crashWorker(f)
 			default:
 				s := step(rapid.IntRange(1, 4).Draw(t, "tasks"))
 				s.Speculative = rapid.Bool().Draw(t, "speculative")
@@ -238,7 +238,7 @@
 		}
 		w.storeDown = false
 		for _, f := range w.workers {
-			f.cut = false
+			f.partitioned = false
 		}
 		w.run(60 * time.Second)
 		w.check(t)
@@ -246,8 +246,8 @@
 			if !state.Final() {
 				t.Errorf("job %s has not ended: %s", id, state)
 			}
-			if state == job.Failed && w.mostCrashes(id) < givenUpBound {
-				t.Errorf("job %s is given up after %d crashes", id, w.mostCrashes(id))
+			if state == job.Failed && w.maxCrashes(id) < minCrashesToFail {
+				t.Errorf("job %s is given up after %d crashes", id, w.maxCrashes(id))
 			}
 		}
 	})
@@ -264,19 +264,19 @@
 		dies time.Duration
 	}{
 		"marks-outlast-their-owner": {
-			off:  func(w *world) { w.unmarked = true },
+			off:  func(w *world) { w.hideCrashes = true },
 			dies: 3 * time.Second,
 		},
 		"trials-outlast-their-owner": {
-			off:  func(w *world) { w.untried = true },
+			off:  func(w *world) { w.hidePossibleCrashes = true },
 			dies: time.Second,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			prove.Scenario(t, prove.CrashLimit, name, func(on bool) string {
 				w := newWorld(8)
-				w.lenient = true
-				w.backAfter = 2 * time.Second
+				w.allowExtraStarts = true
+				w.restartDelay = 2 * time.Second
 				w.culprits[job.TaskID{
 					Job: "bad",
 				}] = tick
@@ -300,7 +300,7 @@
 					w.run(scenario.dies)
 					w.takeOver()
 				}
-				return strings.Join(w.faults, "; ")
+				return strings.Join(w.violations, "; ")
 			})
 		})
 	}
--- a/shard/crash_world_test.go
+++ b/shard/crash_world_test.go
@@ -11,38 +11,38 @@
 
 // registrationTTL is how long a crashed worker stays registered: three heartbeat intervals of the
 // platform.
-const registrationKept = 4500 * time.Millisecond
+const registrationTTL = 4500 * time.Millisecond
 
 // shouldCrash reports whether a run has gone on for as long as its task takes to crash its worker.
-func (w *world) crashesNow(id job.TaskID, r *fakeRun) bool {
+func (w *world) shouldCrash(id job.TaskID, r *fakeRun) bool {
 	after, culprit := w.culprits[id]
 	return culprit && w.now.Sub(r.began) >= after
 }
 
 // crashByTask crashes a worker with all its runs because of a task.
-func (w *world) crash(f *fakeWorker, culprit job.TaskID) {
+func (w *world) crashByTask(f *fakeWorker, culprit job.TaskID) {
 	w.crashes[culprit]++
 	for id := range f.runs {
-		w.under[id]++
+		w.crashesDuring[id]++
 	}
-	w.loseWorker(f)
+	w.failWorker(f)
 }
 
 // crashWorker crashes a worker with all its runs for a cause other than its tasks.
-func (w *world) crashUnder(f *fakeWorker) {
+func (w *world) crashWorker(f *fakeWorker) {
 	if f.down {
 		return
 	}
 	for id := range f.runs {
-		w.under[id]++
+		w.crashesDuring[id]++
 	}
-	w.loseWorker(f)
+	w.failWorker(f)
 }
 
 // maxCrashes returns the highest number of workers that crashed under one task of a job.
-func (w *world) mostCrashes(id string) int {
+func (w *world) maxCrashes(id string) int {
 	most := 0
-	for task, count := range w.under {
+	for task, count := range w.crashesDuring {
 		if task.Job == id {
 			most = max(most, count)
 		}
@@ -51,59 +51,59 @@
 }
 
 // workerIDs returns the sorted ids of all workers, including those that have ended.
-func (w *world) names() []string {
+func (w *world) workerIDs() []string {
 	return slices.Sorted(maps.Keys(w.workers))
 }
 
 // failWorker ends a worker with all its runs without notice. If backAfter is set, it is replaced
 // after that time: by its next incarnation if sameID is set, otherwise by a worker with another id
 // at the same address.
-func (w *world) loseWorker(f *fakeWorker) {
+func (w *world) failWorker(f *fakeWorker) {
 	f.down = true
 	f.crashed = true
 	f.runs = make(map[job.TaskID]*fakeRun)
-	incarnation := f.lives
-	w.after(registrationKept, func() {
-		if f.lives == incarnation {
+	incarnation := f.restarts
+	w.after(registrationTTL, func() {
+		if f.restarts == incarnation {
 			f.unlisted = true
-			w.listToOwner()
+			w.sendRegistrations()
 		}
 	})
-	if w.backAfter == 0 {
+	if w.restartDelay == 0 {
 		return
 	}
-	w.after(w.backAfter, func() {
+	w.after(w.restartDelay, func() {
 		if w.sameID {
-			w.beginLife(f)
+			w.startIncarnation(f)
 			return
 		}
-		f.reborn = true
+		f.replaced = true
 		w.addWorker(fmt.Sprintf("w%d", len(w.workers)), f.reg.Rack)
-		w.listToOwner()
+		w.sendRegistrations()
 	})
 }
 
 // restartWorker ends a worker with all its runs and starts its next incarnation after the downtime.
-func (w *world) startAgain(f *fakeWorker, downtime time.Duration) {
+func (w *world) restartWorker(f *fakeWorker, downtime time.Duration) {
 	if f.down {
 		return
 	}
-	incarnation := f.lives
+	incarnation := f.restarts
 	f.down = true
 	f.crashed = true
 	f.runs = make(map[job.TaskID]*fakeRun)
-	w.after(registrationKept, func() {
-		if f.lives == incarnation {
+	w.after(registrationTTL, func() {
+		if f.restarts == incarnation {
 			f.unlisted = true
-			w.listToOwner()
+			w.sendRegistrations()
 		}
 	})
-	w.after(downtime, func() { w.beginLife(f) })
+	w.after(downtime, func() { w.startIncarnation(f) })
 }
 
 // startIncarnation starts the next incarnation of an ended worker, which has no earlier state.
-func (w *world) beginLife(f *fakeWorker) {
-	f.lives++
+func (w *world) startIncarnation(f *fakeWorker) {
+	f.restarts++
 	f.down = false
 	f.crashed = false
 	f.unlisted = false
@@ -111,30 +111,30 @@
 	f.clockZero = w.now
 	f.runs = make(map[job.TaskID]*fakeRun)
 	f.shares = make(map[job.TaskID]int)
-	f.top = make(map[job.TaskID]int64)
+	f.highestRun = make(map[job.TaskID]int64)
 	f.ends = nil
 	f.endedAt = make(map[int64]time.Time)
-	f.lapsed = time.Time{}
+	f.leaseLapsedAt = time.Time{}
 	f.number = 0
 	f.fence = 0
-	f.until = time.Time{}
-	w.listToOwner()
+	f.leaseUntil = time.Time{}
+	w.sendRegistrations()
 }
 
 // sendRegistrations sends all registrations to the owner, if there is one.
-func (w *world) listToOwner() {
+func (w *world) sendRegistrations() {
 	if !w.ownerless {
 		w.list()
 	}
 }
 
 // checkCrashLimit reports a start of a task under which too many workers have crashed.
-func (w *world) judgeCrashes(f *fakeWorker, id job.TaskID) {
-	if w.crashes[id] < crashBound {
+func (w *world) checkCrashLimit(f *fakeWorker, id job.TaskID) {
+	if w.crashes[id] < maxCrashesPerTask {
 		return
 	}
-	w.startsOver[id]++
-	if !w.lenient || w.startsOver[id] > startsAfter {
-		w.fault("%s starts on %s after %d workers have crashed under it", id, f.reg.ID, w.crashes[id])
+	w.extraStarts[id]++
+	if !w.allowExtraStarts || w.extraStarts[id] > maxExtraStarts {
+		w.addViolation("%s starts on %s after %d workers have crashed under it", id, f.reg.ID, w.crashes[id])
 	}
 }
--- a/shard/deposed_test.go
+++ b/shard/deposed_test.go
@@ -23,14 +23,14 @@
 			is := is.New(t)
 			w := newWorld(3)
 			w.run(200 * time.Millisecond)
-			w.standbyAway = true
-			w.takeOverFromLiving(2 * time.Second)
+			w.standbyDown = true
+			w.takeOverFromActive(2 * time.Second)
 			w.run(100 * time.Millisecond)
 			record := w.record("a", step(4))
 			w.store(record)
 			w.zombies[0].core.Accept(record, w.version, true, w.now)
 			w.run(delays.poll)
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(delays.row)
 			w.core.Accept(record, w.version, false, w.now)
 			w.run(10 * time.Second)
--- a/shard/drain_test.go
+++ b/shard/drain_test.go
@@ -10,17 +10,17 @@
 // TestDrainStopsOneTaskOfAStepAtATime covers two workers that drain at once. All long-running tasks
 // on both were stopped at that moment, as if no other task of their step ran on the other worker,
 // although there are seconds to move one after the other.
-func TestDrainingWorkersAreEmptiedOneTaskOfAStepAtATime(t *testing.T) {
+func TestDrainStopsOneTaskOfAStepAtATime(t *testing.T) {
 	is := is.New(t)
-	w, one, other := stepOnThree(is)
+	w, one, other := newThreeTaskStep(is)
 	w.addWorker("w9", "r1-1")
 	w.drain(5*time.Second, one, other)
 	for range 400 {
 		w.run(tick)
-		is.True(w.atWorkOf("a") >= 2)
+		is.True(w.availableRuns("a") >= 2)
 	}
 	is.Equal(len(one.runs)+len(other.runs), 0)
-	is.Equal(w.atWorkOf("a"), 3)
+	is.Equal(w.availableRuns("a"), 3)
 	w.check(t)
 }
 
@@ -29,8 +29,8 @@
 // stopped before.
 func TestTaskIsStoppedBeforeItsDrainingWorkerEnds(t *testing.T) {
 	is := is.New(t)
-	w, one, other := stepOnThree(is)
-	other.cut = true // Its task may still run, but the owner can't tell.
+	w, one, other := newThreeTaskStep(is)
+	other.partitioned = true // Its task may still run, but the owner can't tell.
 	w.run(time.Second)
 	w.drain(3*time.Second, one)
 	w.run(1800 * time.Millisecond)
--- a/shard/evacuation_test.go
+++ b/shard/evacuation_test.go
@@ -27,7 +27,7 @@
 	acknowledged map[string]time.Time
 
 	// hidden says that owners are told of no evacuation.
-	ignored bool
+	hidden bool
 }
 
 // zoneOf returns the zone of a rack.
@@ -47,20 +47,20 @@
 }
 
 // endEvacuation ends the evacuation of a zone.
-func (w *world) takeBack(zone string) {
+func (w *world) endEvacuation(zone string) {
 	delete(w.evacuations.acknowledged, zone)
 }
 
 // isEvacuated reports whether owners know that a zone is evacuated.
 func (w *world) isEvacuated(zone string) bool {
 	at, found := w.evacuations.acknowledged[zone]
-	return found && !w.evacuations.ignored && w.now.Sub(at) >= evacuationLag
+	return found && !w.evacuations.hidden && w.now.Sub(at) >= evacuationLag
 }
 
 // checkEvacuated reports a start that was ordered in an evacuated zone.
-func (w *world) judgeEvacuated(f *fakeWorker, id job.TaskID, sent time.Time) {
+func (w *world) checkEvacuated(f *fakeWorker, id job.TaskID, sent time.Time) {
 	if at, found := w.evacuations.acknowledged[f.reg.Zone]; found && sent.Sub(at) > evacuationBound {
-		w.fault("%s starts on %s, whose zone %s was evacuated at %v", id, f.reg.ID, f.reg.Zone, at.Sub(w.start))
+		w.addViolation("%s starts on %s, whose zone %s was evacuated at %v", id, f.reg.ID, f.reg.Zone, at.Sub(w.start))
 	}
 }
 
@@ -83,7 +83,7 @@
 	w.run(8 * time.Second)
 	is.Equal(evacuated.began, before)
 	is.True(len(evacuated.runs) > 0) // Tasks that run in the zone keep running.
-	w.takeBack(evacuated.reg.Zone)
+	w.endEvacuation(evacuated.reg.Zone)
 	w.submit("after", step(12))
 	w.run(6 * time.Second)
 	is.True(evacuated.began > before)
@@ -92,7 +92,7 @@
 
 // TestUnansweredStartIsNotRetriedInAnEvacuatedZone covers a start that gets no answer before its
 // zone is evacuated, and whose retry is due after the evacuation.
-func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
+func TestUnansweredStartIsNotRetriedInAnEvacuatedZone(t *testing.T) {
 	for name, s := range map[string]job.Step{
 		"short":   step(1),
 		"lasting": lasting(1, 1),
@@ -101,17 +101,17 @@
 			is := is.New(t)
 			w := newWorld(1)
 			w.run(200 * time.Millisecond)
-			w.lose = time.Minute
+			w.startDelay = time.Minute
 			w.submit("a", s)
 			w.run(4 * tick)
 			w.evacuate(w.workers["w0"].reg.Zone)
-			w.workers["w0"].cut = true
+			w.workers["w0"].partitioned = true
 			w.run(3 * time.Second)
-			w.lose = 0
-			w.workers["w0"].cut = false
+			w.startDelay = 0
+			w.workers["w0"].partitioned = false
 			w.run(4 * time.Second)
 			is.Equal(w.workers["w0"].began, 0)
-			w.takeBack(w.workers["w0"].reg.Zone)
+			w.endEvacuation(w.workers["w0"].reg.Zone)
 			w.run(4 * time.Second)
 			is.True(w.workers["w0"].began > 0)
 			w.check(t)
@@ -121,7 +121,7 @@
 
 // TestEvacuationIsReportedAsWaitReason covers a task that may only run on a rack of an evacuated
 // zone.
-func TestTaskOfAnEvacuatedZoneTellsWhyItWaits(t *testing.T) {
+func TestEvacuationIsReportedAsWaitReason(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
@@ -132,8 +132,8 @@
 	s.Label = evacuated.Rack
 	w.submit("a", s)
 	w.run(4 * time.Second)
-	is.True(w.refusedFor["evacuated"] > 0)
-	w.takeBack(evacuated.Zone)
+	is.True(w.waitReasons["evacuated"] > 0)
+	w.endEvacuation(evacuated.Zone)
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
 	w.check(t)
@@ -144,12 +144,12 @@
 	prove.Guard(t, prove.Evacuation, "evacuated-worker-takes-nothing", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
 			w := newWorld(4)
-			w.evacuations.ignored = !on
+			w.evacuations.hidden = !on
 			for _, zone := range []string{"r0", "r1", "r2"} {
 				if rapid.Bool().Draw(t, "evacuated") {
 					from := time.Duration(rapid.IntRange(0, 500).Draw(t, "from")) * tick
 					w.after(from, func() { w.evacuate(zone) })
-					w.after(from+time.Duration(rapid.IntRange(100, 1500).Draw(t, "for"))*tick, func() { w.takeBack(zone) })
+					w.after(from+time.Duration(rapid.IntRange(100, 1500).Draw(t, "for"))*tick, func() { w.endEvacuation(zone) })
 				}
 			}
 			underFaults(t, w)
--- a/shard/events.go
+++ b/shard/events.go
@@ -11,120 +11,120 @@
 const (
 	// maxAckWait is how long the next poll of a worker waits for the write after which the
 	// worker's ends may be acknowledged. After that the poll is sent without acknowledging them.
-	ackPause = 300 * time.Millisecond
+	maxAckWait = 300 * time.Millisecond
 
 	// maxStartAttempts is how often a start without an answer is sent before the run is
 	// stopped instead. A long-running task is stopped only once a poll shows that it has not
 	// started.
-	startTries = 2
+	maxStartAttempts = 2
 )
 
 // Polled handles the answer to a poll that was ordered at sent. It ignores an answer that is no
 // longer awaited. Such an answer can come from an incarnation that was given up: attributed to the
 // newer one, it made the tasks that ran there start a second time elsewhere.
-func (s *Shard) Held(poll Hold, sent, now time.Time, glance outside.Glance, err error) {
+func (s *Shard) Polled(poll Poll, sent, now time.Time, glance outside.WorkerStatus, err error) {
 	id := poll.Worker.ID
 	w, found := s.workers[id]
-	if !found || w.look != poll.Call {
-		s.opts.Report("late answer passed over", "worker", id, "sent_ms", now.Sub(sent).Milliseconds())
+	if !found || w.pollCall != poll.Call {
+		s.opts.LogEvent("late answer passed over", "worker", id, "sent_ms", now.Sub(sent).Milliseconds())
 		return
 	}
-	w.look = 0
-	s.resolveUnknown(now)
+	w.pollCall = 0
+	s.resolveUnknownJobs(now)
 	if err != nil {
-		if now.Sub(sent) <= promptFailure {
-			w.silentAt = sent
+		if now.Sub(sent) <= promptFailureTimeout {
+			w.silentPollAt = sent
 		}
-		s.holdFailed(w, poll, now, err)
+		s.pollFailed(w, poll, now, err)
 		return
 	}
 	if w.failures > 0 {
-		s.opts.Report("worker regained", "worker", id, "failures", w.failures)
+		s.opts.LogEvent("worker regained", "worker", id, "failures", w.failures)
 	}
-	again := w.isOther(glance.Born)
+	again := w.isOtherIncarnation(glance.Born)
 	if again {
-		w = s.restarted(w, glance, sent, now)
+		w = s.replaceIncarnation(w, glance, sent, now)
 	}
 	if w.born.IsZero() {
 		w.born = glance.Born
 	}
-	if w.named {
+	if w.inHandover {
 		// A stored row may still name the worker as one where nothing is started or renewed.
-		w.regained = now
-		w.named = false
+		w.regainedAt = now
+		w.inHandover = false
 	}
 	w.failures = 0
 	w.silentSince = time.Time{}
-	w.hear(glance.Clock, now)
-	if !w.known {
-		s.meet(w, again && len(glance.Runs) > 0, now)
+	w.updateClock(glance.Clock, now)
+	if !w.contacted {
+		s.handleFirstAnswer(w, again && len(glance.Runs) > 0, now)
 	}
-	if sent.After(w.doubted) {
-		w.doubted = time.Time{}
+	if sent.After(w.uncertainAt) {
+		w.uncertainAt = time.Time{}
 	}
-	s.takeEnds(w, glance.Ends, now)
-	s.compare(w, sent, now, glance.Runs)
-	s.acquitAt(w)
-	s.pace(w)
+	s.processEnds(w, glance.Ends, now)
+	s.reconcile(w, sent, now, glance.Runs)
+	s.clearStalePossibleCrashes(w)
+	s.paceFillers(w)
 }
 
 // pollFailed handles a poll that failed.
-func (s *Shard) holdFailed(w *workerState, poll Hold, now time.Time, err error) {
+func (s *Shard) pollFailed(w *workerState, poll Poll, now time.Time, err error) {
 	var gone *outside.GoneError
 	if errors.As(err, &gone) {
-		s.loseWorker(w, now, "another worker answers")
+		s.workerLost(w, now, "another worker answers")
 		return
 	}
 	var refused *outside.WorkerRefusedError
 	if errors.As(err, &refused) && refused.Reason == outside.RefusedFence {
-		if s.isOutdated(w.reg.ID, poll.Renewal.Fence) {
-			w.holdAt = now
+		if s.isStaleFence(w.reg.ID, poll.Renewal.Fence) {
+			w.nextPollAt = now
 			return
 		}
-		s.seeNewerOwner(w)
+		s.stepDown(w)
 		return
 	}
 	s.raiseFence(w)
 	if w.failures == 0 {
 		w.silentSince = now
-		s.opts.Report("worker lost", "worker", w.reg.ID, "runs", len(w.runs), "error", err.Error())
+		s.opts.LogEvent("worker lost", "worker", w.reg.ID, "runs", len(w.runs), "error", err.Error())
 	}
 	w.failures++
-	if w.failures == trialAfter && !s.pulse.late(now) {
+	if w.failures == possibleCrashAfter && !s.answerLatency.late(now) {
 		for id := range s.lostTasks(w, now) {
-			s.try(id, w.incarnation().String())
+			s.addPossibleCrash(id, w.incarnation().String())
 		}
 	}
-	w.holdAt = now.Add(min(retryMost, retryFirst*time.Duration(w.failures)))
+	w.nextPollAt = now.Add(min(maxRetryBackoff, minRetryBackoff*time.Duration(w.failures)))
 }
 
 // reconcile updates the known runs of a worker from the runs that it listed.
-func (s *Shard) compare(w *workerState, sent, now time.Time, listed []outside.RunningTask) {
+func (s *Shard) reconcile(w *workerState, sent, now time.Time, listed []outside.RunningTask) {
 	present := make(map[job.TaskID]int64, len(listed))
 	for _, running := range listed {
 		present[running.Task] = running.Run
-		s.compareOne(w, sent, now, running)
+		s.reconcileRun(w, sent, now, running)
 	}
 	for id, r := range w.runs {
 		if number, found := present[id]; found && number == r.number {
 			continue
 		}
 		switch {
-		case r.phase == phaseDoubtful && r.call == 0 && r.tries >= startTries && !sent.Before(r.doubted):
+		case r.phase == phaseUncertain && r.call == 0 && r.tries >= maxStartAttempts && !sent.Before(r.uncertainAt):
 			// The stop waits until a poll has shown that the run is missing: without that,
 			// stops ended available tasks, more of a step than may be unavailable.
 			s.stop(r, reasonNoAnswer)
-			r.notThere = true
-		case r.phase == phaseRunning && sent.After(r.settled),
-			r.phase == phaseStopped && sent.After(r.settled.Add(s.opts.StopTask)):
-			s.reportRun("run missing from poll", id, r.number, w, "acknowledged", w.acked)
-			s.drop(r, now)
+			r.notStarted = true
+		case r.phase == phaseRunning && sent.After(r.answeredAt),
+			r.phase == phaseStopped && sent.After(r.answeredAt.Add(s.opts.StopTimeout)):
+			s.logRun("run missing from poll", id, r.number, w, "acknowledged", w.acked)
+			s.dropRun(r, now)
 		}
 	}
 }
 
 // reconcileRun updates or adds one run that a worker listed.
-func (s *Shard) compareOne(w *workerState, sent, now time.Time, running outside.RunningTask) {
+func (s *Shard) reconcileRun(w *workerState, sent, now time.Time, running outside.RunningTask) {
 	r, found := w.runs[running.Task]
 	if found && r.number != running.Run {
 		return
@@ -132,7 +132,7 @@
 	j := s.knownJob(running.Task.Job)
 	var t *taskState
 	if j != nil {
-		t = s.taskOf(j, running.Task)
+		t = s.findOrBuildTask(j, running.Task)
 	}
 	if t != nil && running.Checkpoint != "" {
 		t.checkpoint = running.Checkpoint
@@ -140,50 +140,50 @@
 	if found {
 		r.figure = running.Figure
 		r.percent = running.Percent
-		r.listed = sent
+		r.listedAt = sent
 		if t != nil {
 			s.clear(r, t, j, now)
 		}
 		switch {
-		case r.phase == phaseStarting || r.phase == phaseDoubtful:
+		case r.phase == phaseStarting || r.phase == phaseUncertain:
 			r.phase = phaseRunning
-			r.settled = now
-		case r.phase == phaseStopping && r.notThere:
+			r.answeredAt = now
+		case r.phase == phaseStopping && r.notStarted:
 			// The run has started after all, before its stop was answered.
-			r.spared = true
-		case r.phase == phaseStopped && sent.After(r.settled.Add(s.opts.StopTask+foundSlack)):
+			r.stopWithinBudget = true
+		case r.phase == phaseStopped && sent.After(r.answeredAt.Add(s.opts.StopTimeout+stopSlack)):
 			s.stopAgain(r)
 		}
 		return
 	}
 	r = &run{
-		id:      running.Task,
-		number:  running.Run,
-		worker:  w,
-		phase:   phaseRunning,
-		began:   now,
-		settled: now,
-		found:   true,
-		share:   sharedUnknown,
-		unsized: t == nil,
+		id:         running.Task,
+		number:     running.Run,
+		worker:     w,
+		phase:      phaseRunning,
+		startedAt:  now,
+		answeredAt: now,
+		found:      true,
+		share:      shareUnknown,
+		unsized:    t == nil,
 	}
 	wanted := t != nil && needsRun(j, t)
 	if t != nil {
 		r.charge = j.record.Spec.Steps[running.Task.Step].Charge()
 	}
-	s.attach(r, j, t)
+	s.attachRun(r, j, t)
 	switch {
 	case j == nil:
-		s.noteUnknown(running.Task.Job)
+		s.addUnknownJob(running.Task.Job)
 	case !wanted:
 		s.stop(r, reasonUnwanted)
 	}
-	s.reportRun("run found", running.Task, running.Run, w, "job_known", j != nil, "wanted", wanted, "percent", running.Percent)
+	s.logRun("run found", running.Task, running.Run, w, "job_known", j != nil, "wanted", wanted, "percent", running.Percent)
 }
 
 // findOrBuildTask returns a task of a job; nil if the job has none with that id. It builds the
 // task's occurrence if only an earlier owner had begun it.
-func (s *Shard) taskOf(j *jobState, id job.TaskID) *taskState {
+func (s *Shard) findOrBuildTask(j *jobState, id job.TaskID) *taskState {
 	step := j.step(id.Occurrence, id.Step)
 	if step == nil || id.Index >= len(step.tasks) {
 		return nil
@@ -193,7 +193,7 @@
 
 // attachRun adds a run to its worker, its task and the quota usage of its organisation. j and t are
 // nil if its job is unknown.
-func (s *Shard) attach(r *run, j *jobState, t *taskState) {
+func (s *Shard) attachRun(r *run, j *jobState, t *taskState) {
 	r.worker.runs[r.id] = r
 	r.worker.used = r.worker.used.Add(r.charge)
 	if r.unsized {
@@ -209,32 +209,32 @@
 		r.suspect = true
 		r.worker.suspects++
 	}
-	if t.crashed.Alone() {
-		r.alone = true
-		r.worker.alone++
+	if t.crashes.NeedsIsolation() {
+		r.isolated = true
+		r.worker.isolated++
 	}
-	j.active++
+	j.activeRuns++
 	t.lastRun = max(t.lastRun, r.number)
-	j.occurrences[r.id.Occurrence].steps[r.id.Step].unidle(r.id.Index)
-	s.begin(j)
+	j.occurrences[r.id.Occurrence].steps[r.id.Step].removeIdle(r.id.Index)
+	s.markStarted(j)
 }
 
 // markStarted records that a task of the job has started.
-func (s *Shard) begin(j *jobState) {
-	if j.begun {
+func (s *Shard) markStarted(j *jobState) {
+	if j.started {
 		return
 	}
-	j.begun = true
-	s.countPending(j, -1)
+	j.started = true
+	s.addPending(j, -1)
 	if j.state == job.Queued {
 		j.state = job.Running
-		s.opts.Show(j.record.ID, job.Running)
+		s.opts.PublishState(j.record.ID, job.Running)
 	}
 }
 
 // addPending adds by to the number of jobs of the route that have not begun. Repeated jobs don't
 // count.
-func (s *Shard) countPending(j *jobState, by int) {
+func (s *Shard) addPending(j *jobState, by int) {
 	if j.record.Spec.Repeats > 0 {
 		return
 	}
@@ -242,19 +242,19 @@
 }
 
 // dropRun removes a run from its worker and makes its task idle if the task has no other run.
-func (s *Shard) drop(r *run, now time.Time) {
+func (s *Shard) dropRun(r *run, now time.Time) {
 	if r.worker.runs[r.id] != r {
 		return
 	}
 	if r.unanswered || (r.call != 0 && r.phase != phaseStopped) {
-		s.rememberStart(r, now)
+		s.recordUnansweredStart(r, now)
 	}
 	delete(r.worker.runs, r.id)
 	r.worker.used = r.worker.used.Sub(r.charge)
 	if r.unsized {
 		r.worker.unsized--
 	}
-	s.unsuspect(r)
+	s.removeSuspect(r)
 	s.releaseQuota(r)
 	j := s.jobs[r.id.Job]
 	if j == nil {
@@ -267,14 +267,14 @@
 	for i, other := range t.runs {
 		if other == r {
 			t.runs = append(t.runs[:i], t.runs[i+1:]...)
-			j.active--
+			j.activeRuns--
 			break
 		}
 	}
-	s.acquit(r.id, r.worker)
+	s.clearPossibleCrash(r.id, r.worker)
 	if len(t.runs) == 0 && !t.done && !j.state.Final() {
 		step := j.occurrences[r.id.Occurrence].steps[r.id.Step]
-		step.unidle(r.id.Index)
+		step.removeIdle(r.id.Index)
 		step.idle = append(step.idle, r.id.Index)
 		t.idleSince = now
 		s.waiting[j.record.ID] = j
@@ -282,32 +282,32 @@
 }
 
 // handleEnd handles the end of a run that a worker listed.
-func (s *Shard) ended(w *workerState, end outside.End, now time.Time) {
+func (s *Shard) handleEnd(w *workerState, end outside.End, now time.Time) {
 	j := s.knownJob(end.Task.Job)
 	var t *taskState
 	if j != nil {
-		t = s.taskOf(j, end.Task)
+		t = s.findOrBuildTask(j, end.Task)
 	}
 	r, found := w.runs[end.Task]
 	if found && r.number == end.Run {
-		s.drop(r, now)
+		s.dropRun(r, now)
 	} else {
 		r = nil
 	}
-	s.reportRun("run ended", end.Task, end.Run, w, "how", string(end.Kind), "number", end.Number, "known", r != nil)
+	s.logRun("run ended", end.Task, end.Run, w, "how", string(end.Kind), "number", end.Number, "known", r != nil)
 	if t == nil || j.state.Final() {
 		return
 	}
 	if end.Kind == outside.EndLapsed && len(t.runs) == 0 {
-		s.reportExceeded("lease lapsed", end.Task, end.Run, w)
+		s.logBudgetExceeded("lease lapsed", end.Task, end.Run, w)
 	}
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
 	}
 	switch end.Kind {
 	case outside.EndDone:
-		w.blamed = max(0, w.blamed-1)
-		s.learn(j, end.Task, r, now)
+		w.recentFailures = max(0, w.recentFailures-1)
+		s.recordRunTime(j, end.Task, r, now)
 		s.taskDone(j, end.Task, now)
 	case outside.EndFailed:
 		s.taskFailed(j, t, w, end, now)
@@ -339,16 +339,16 @@
 			s.stop(copied, "another copy ended")
 		}
 	}
-	if step.left > 0 {
+	if step.remaining > 0 {
 		return
 	}
 	s.waiting[j.record.ID] = j
-	o.left--
-	if o.left > 0 {
+	o.remaining--
+	if o.remaining > 0 {
 		return
 	}
-	j.left--
-	if j.left == 0 {
+	j.remaining--
+	if j.remaining == 0 {
 		s.finishJob(j, job.Completed, now)
 	}
 }
@@ -356,36 +356,36 @@
 // taskFailed counts a failed run once, and fails the job when the task has used its attempts. The
 // failures of long-running tasks don't count.
 func (s *Shard) taskFailed(j *jobState, t *taskState, w *workerState, end outside.End, now time.Time) {
-	w.blamed++
-	t.avoid = append(t.avoid, w.incarnation())
+	w.recentFailures++
+	t.failedWorkers = append(t.failedWorkers, w.incarnation())
 	if j.record.Spec.Steps[end.Task.Step].Lasting {
 		return
 	}
-	for _, counted := range t.failed {
+	for _, counted := range t.failedRuns {
 		if counted == end.Run {
 			return
 		}
 	}
-	t.failed = append(t.failed, end.Run)
+	t.failedRuns = append(t.failedRuns, end.Run)
 	s.dirty[j.record.ID] = j
 	if attempts := j.attempts(end.Task, t); attempts >= j.policy.Attempts && !t.done {
-		s.opts.Report("attempts used", "job", j.record.ID, "task", end.Task.String(), "attempts", attempts)
+		s.opts.LogEvent("attempts used", "job", j.record.ID, "task", end.Task.String(), "attempts", attempts)
 		s.finishJob(j, job.Failed, now)
 	}
 }
 
 // finishJob sets the final state of a job and stops its remaining runs.
 func (s *Shard) finishJob(j *jobState, state job.State, now time.Time) {
-	if !j.begun {
-		s.countPending(j, -1)
-		j.begun = true
+	if !j.started {
+		s.addPending(j, -1)
+		j.started = true
 	}
 	j.state = state
-	j.ended = now
+	j.endedAt = now
 	s.dirty[j.record.ID] = j
 	delete(s.waiting, j.record.ID)
 	delete(s.repeating, j.record.ID)
-	s.forgetTickets(j)
+	s.forgetJobTickets(j)
 	for _, o := range j.occurrences {
 		for _, step := range o.steps {
 			for _, t := range step.tasks {
--- a/shard/eviction.go
+++ b/shard/eviction.go
@@ -14,22 +14,22 @@
 	for _, w := range s.workers {
 		// A worker that is reserved for an isolated task must empty as well: a long-running
 		// task on it would keep the isolated task waiting for all of suspect.AloneWait.
-		closed := now.Before(w.closedUntil) || now.Before(w.keptUntil)
-		draining := w.drains()
+		closed := now.Before(w.closedUntil) || now.Before(w.reservedUntil)
+		draining := w.isDraining()
 		if len(w.runs) == 0 || (!draining && !closed) {
 			continue
 		}
-		soon := draining && w.drainEnds.Sub(now) < s.opts.StopTask+drainReserve
+		soon := draining && w.drainEndsAt.Sub(now) < s.opts.StopTimeout+drainMargin
 		for id, r := range w.runs {
 			spec, found := s.stepOf(id)
-			if !found || (r.phase != phaseRunning && !r.spared) {
+			if !found || (r.phase != phaseRunning && !r.stopWithinBudget) {
 				continue
 			}
 			switch {
 			case soon && (spec.Lasting || spec.Checkpoints):
 				s.stop(r, "worker drains")
-			case r.phase == phaseRunning && spec.Lasting && s.maySendAway(id, spec, now):
-				s.sendAway(r)
+			case r.phase == phaseRunning && spec.Lasting && s.mayEvict(id, spec, now):
+				s.evict(r)
 			}
 		}
 	}
@@ -37,67 +37,67 @@
 
 // isDraining reports whether this incarnation of the worker has announced its end. The
 // registration may still be that of the previous incarnation.
-func (w *workerState) drains() bool {
-	return w.reg.Draining && !w.isOther(w.reg.Born)
+func (w *workerState) isDraining() bool {
+	return w.reg.Draining && !w.isOtherIncarnation(w.reg.Born)
 }
 
 // mayEvict reports whether a long-running task may be stopped now: its step may have one more task
 // unavailable, and other workers have resources for it and for the tasks of the step that need
 // a worker already.
-func (s *Shard) maySendAway(id job.TaskID, spec *job.Step, now time.Time) bool {
+func (s *Shard) mayEvict(id job.TaskID, spec *job.Step, now time.Time) bool {
 	step := s.jobs[id.Job].occurrences[id.Occurrence].steps[id.Step]
-	return s.canSpare(id, spec) && s.places(id, spec, now) > step.seeking()
+	return s.canDisrupt(id, spec) && s.countPlacements(id, spec, now) > step.countSeeking()
 }
 
 // evict stops a run of a long-running task so that its worker empties. The stop is not repeated
 // while the step may have no more tasks unavailable, see holdsBackStop.
-func (s *Shard) sendAway(r *run) {
+func (s *Shard) evict(r *run) {
 	s.stop(r, "worker is being emptied")
-	r.spared = true
+	r.stopWithinBudget = true
 }
 
 // holdsBackStop reports whether the failed stop of an evicted run must not be repeated now, because
 // its step may have no more tasks unavailable. The run still counts as stopping, since the earlier
 // stop may yet take effect: if the run counted as available, another task of the step would be
 // evicted as well. Once that stop can no longer take effect, the run counts as running again.
-func (s *Shard) holdsBack(r *run, now time.Time) bool {
-	if !r.spared || r.tries == 0 {
+func (s *Shard) holdsBackStop(r *run, now time.Time) bool {
+	if !r.stopWithinBudget || r.tries == 0 {
 		return false
 	}
 	spec, found := s.stepOf(r.id)
-	if !found || s.canSpare(r.id, spec) {
+	if !found || s.canDisrupt(r.id, spec) {
 		return false
 	}
-	if !r.heldBack {
-		r.heldBack = true
-		s.reportRun("stop held back", r.id, r.number, r.worker, "tries", r.tries)
+	if !r.heldBackLogged {
+		r.heldBackLogged = true
+		s.logRun("stop held back", r.id, r.number, r.worker, "tries", r.tries)
 	}
-	if r.listed.Sub(r.ordered) > lateMost {
-		s.reportRun("stop given up", r.id, r.number, r.worker, "tries", r.tries)
+	if r.listedAt.Sub(r.stopOrderedAt) > maxOrderDelay {
+		s.logRun("stop given up", r.id, r.number, r.worker, "tries", r.tries)
 		r.phase = phaseRunning
-		r.settled = now
-		delete(s.due, r)
+		r.answeredAt = now
+		delete(s.dueRuns, r)
 	}
 	return true
 }
 
 // canDisrupt reports whether a step may have one of its tasks unavailable, given how many of its
 // other tasks are.
-func (s *Shard) canSpare(id job.TaskID, spec *job.Step) bool {
-	away, known := s.othersAway(id)
-	return known && spares(spec, away)
+func (s *Shard) canDisrupt(id job.TaskID, spec *job.Step) bool {
+	away, known := s.othersUnavailable(id)
+	return known && allowsDisruption(spec, away)
 }
 
 // allowsDisruption reports whether a step may have one more task unavailable, given how many are.
-func spares(spec *job.Step, away int) bool {
+func allowsDisruption(spec *job.Step, away int) bool {
 	return away < max(1, spec.MayMiss) && (!spec.HasMayMiss || away < spec.MayMiss)
 }
 
 // unavailable returns how many tasks of a step are unavailable, without the one at index.
-func (s *Shard) away(step *stepState, index int) int {
+func (s *Shard) unavailable(step *stepState, index int) int {
 	unavailable := 0
 	for i, t := range step.tasks {
-		if i != index && !s.atWork(t) {
+		if i != index && !s.isAvailable(t) {
 			unavailable++
 		}
 	}
@@ -106,16 +106,16 @@
 
 // countPlacements returns how many tasks of a step the workers could start now. It counts up to
 // Step.Count or Step.PerWorker tasks for each worker.
-func (s *Shard) places(id job.TaskID, spec *job.Step, now time.Time) int {
+func (s *Shard) countPlacements(id job.TaskID, spec *job.Step, now time.Time) int {
 	c := newCandidate(id, spec, s.jobs[id.Job].task(id))
 	sum := 0
 	for _, w := range s.workers {
-		if s.refuses(w, c, now) != takes {
+		if s.checkEligibility(w, c, now) != eligible {
 			continue
 		}
 		most := spec.Count
 		if spec.PerWorker > 0 {
-			most = spec.PerWorker - w.onStep(id)
+			most = spec.PerWorker - w.countRuns(id)
 		}
 		room := w.free()
 		for n := 0; n < most && room.Fits(spec.Charge()); n++ {
@@ -145,7 +145,7 @@
 
 // countSeeking returns how many tasks of the step need a worker: those that have none and those
 // whose only run is being stopped.
-func (s *stepState) seeking() int {
+func (s *stepState) countSeeking() int {
 	count := len(s.idle)
 	for _, t := range s.tasks {
 		if len(t.runs) == 1 && (t.runs[0].phase == phaseStopping || t.runs[0].phase == phaseStopped) {
@@ -156,10 +156,10 @@
 }
 
 // isAvailable reports whether a long-running task has a run that is known to work at full capacity.
-func (s *Shard) atWork(t *taskState) bool {
+func (s *Shard) isAvailable(t *taskState) bool {
 	for _, r := range t.runs {
 		// A run on a worker that does not answer may have ended long ago.
-		reached := r.worker.failures == 0 && r.worker.doubted.IsZero()
+		reached := r.worker.failures == 0 && r.worker.uncertainAt.IsZero()
 		if r.phase == phaseRunning && r.percent >= fullPercent && reached && !s.mayBeStopping(r) {
 			return true
 		}
@@ -170,5 +170,5 @@
 // mayBeStopping reports whether the previous owner may have ordered a stop of the run. The worker
 // lists the run until it has stopped.
 func (s *Shard) mayBeStopping(r *run) bool {
-	return r.found && r.listed.Sub(r.began) < s.opts.StopTask+foundSlack
+	return r.found && r.listedAt.Sub(r.startedAt) < s.opts.StopTimeout+stopSlack
 }
