--- a/shard/fakeworker_test.go
+++ b/shard/fakeworker_test.go
@@ -21,47 +21,47 @@
 
 // fakeWorker follows the platform's rules for workers, in virtual time.
 type fakeWorker struct {
-	reg    outside.Registration
-	runs   map[job.TaskID]*fakeRun
-	ends   []outside.End
-	number int64
-	fence  int64
-	until  time.Time
-	top    map[job.TaskID]int64
+	reg        outside.Registration
+	runs       map[job.TaskID]*fakeRun
+	ends       []outside.End
+	number     int64
+	fence      int64
+	leaseUntil time.Time
+	highestRun map[job.TaskID]int64
 
 	// clockZero is when the worker's steady clock stood at zero. Each incarnation resets the
 	// clock.
 	clockZero time.Time
 
 	// restarts counts how often the worker has restarted under its id.
-	lives int
+	restarts int
 
 	// endedAt holds the time of each end by its number; number is that of the last one.
 	// leaseLapsedAt is the last time at which the worker had no lease.
-	endedAt map[int64]time.Time
-	lapsed  time.Time
+	endedAt       map[int64]time.Time
+	leaseLapsedAt time.Time
 
 	// partitioned says that no call reaches the worker. down says that it has ended, crashed
 	// that it stays registered for a while all the same, and replaced that another worker
 	// answers at its address.
-	cut     bool
-	down    bool
-	crashed bool
-	reborn  bool
+	partitioned bool
+	down        bool
+	crashed     bool
+	replaced    bool
 
 	// unhealthy says that the worker refuses stops.
 	unhealthy bool
 
 	// ignoreStops is how many stops the worker answers without ending a run, began how many
 	// runs it has started, and disturbed when it was last partitioned.
-	deaf      int
-	began     int
-	disturbed time.Time
+	ignoreStops int
+	began       int
+	disturbed   time.Time
 
 	// tailLatency is the latency in milliseconds that the worker reports for every run. shares
 	// holds the percentage of full speed that each run was told to work at.
-	figure int
-	shares map[job.TaskID]int
+	tailLatency int
+	shares      map[job.TaskID]int
 
 	// tickets counts the starts that carried a ticket.
 	tickets int
@@ -70,7 +70,7 @@
 	unlisted bool
 }
 
-func (f *fakeWorker) end(id job.TaskID, kind outside.EndKind, now time.Time) {
+func (f *fakeWorker) endRun(id job.TaskID, kind outside.EndKind, now time.Time) {
 	f.number++
 	f.endedAt[f.number] = now
 	f.ends = append(f.ends, outside.End{
@@ -82,14 +82,14 @@
 	delete(f.runs, id)
 }
 
-func (f *fakeWorker) renew(w *world, fence int64, leaseUntil time.Duration) {
+func (f *fakeWorker) renewLease(w *world, fence int64, leaseUntil time.Duration) {
 	f.fence = max(f.fence, fence)
 	at := f.clockZero.Add(leaseUntil)
-	if limit := w.now.Add(testLeaseMost); at.After(limit) {
+	if limit := w.now.Add(testMaxLease); at.After(limit) {
 		at = limit
 	}
-	if at.After(f.until) {
-		f.until = at
+	if at.After(f.leaseUntil) {
+		f.leaseUntil = at
 	}
 }
 
@@ -98,25 +98,25 @@
 	return now.Sub(f.clockZero)
 }
 
-func (f *fakeWorker) glance(w *world) outside.Glance {
-	g := outside.Glance{
+func (f *fakeWorker) glance(w *world) outside.WorkerStatus {
+	g := outside.WorkerStatus{
 		Born:  w.registration(f).Born,
 		Clock: f.clock(w.now),
 		Ends:  append([]outside.End(nil), f.ends...),
 	}
 	for id, r := range f.runs {
-		if w.blindfold && r.late {
+		if w.hideLateRuns && r.late {
 			continue
 		}
 		percent := 0
-		if w.full || w.now.Sub(r.began) > 500*time.Millisecond {
+		if w.reportAllAvailable || w.now.Sub(r.began) > 500*time.Millisecond {
 			percent = 100
 		}
 		g.Runs = append(g.Runs, outside.RunningTask{
 			Task:    id,
 			Run:     r.number,
 			Percent: percent,
-			Figure:  f.figure,
+			Figure:  f.tailLatency,
 		})
 	}
 	return g
--- a/shard/gang.go
+++ b/shard/gang.go
@@ -8,7 +8,7 @@
 )
 
 // gangAssignment assigns the tasks of a gang to workers, one task at a time.
-type gangFit struct {
+type gangAssignment struct {
 	shard *Shard
 	group group
 	step  *stepState
@@ -20,15 +20,15 @@
 	// chosen maps the index of a task to its worker. memberCount counts the tasks assigned to
 	// each worker, and suspectCount the suspect ones among them. dedicated holds the workers
 	// that were assigned to an isolated task.
-	chosen   map[int]*workerState
-	members  map[*workerState]int
-	suspects map[*workerState]int
-	alone    map[*workerState]bool
+	chosen       map[int]*workerState
+	memberCount  map[*workerState]int
+	suspectCount map[*workerState]int
+	dedicated    map[*workerState]bool
 }
 
 // placeGang starts either all tasks of a step or none.
 func (s *Shard) placeGang(g group, step *stepState, spec *job.Step, now time.Time) {
-	if len(step.idle) < step.left || s.heldAny(step) {
+	if len(step.idle) < step.remaining || s.isAnyBlocked(step) {
 		return
 	}
 	if !s.withinQuota(g.job, spec, len(step.idle)) {
@@ -40,11 +40,11 @@
 		racks = append(s.racks(), "")
 	}
 	for _, rack := range racks {
-		chosen := s.fitGang(g, step, spec, rack, now)
+		chosen := s.assignGang(g, step, spec, rack, now)
 		if chosen == nil {
 			continue
 		}
-		if !s.affords(spec, g.job, len(chosen), now) {
+		if !s.takeStartBudget(spec, g.job, len(chosen), now) {
 			return
 		}
 		number := (s.epoch-1)*runsPerEpoch + 1
@@ -61,41 +61,41 @@
 		}
 		return
 	}
-	s.keepForGang(g, step, spec, now)
+	s.reserveForGang(g, step, spec, now)
 }
 
 // reserveForGang reserves a worker for the first isolated task of a gang. The wait of all isolated
 // tasks of the gang begins now.
-func (s *Shard) keepForGang(g group, step *stepState, spec *job.Step, now time.Time) {
+func (s *Shard) reserveForGang(g group, step *stepState, spec *job.Step, now time.Time) {
 	reserved := false
 	for _, index := range step.idle {
 		t := step.tasks[index]
-		if !t.crashed.Alone() {
+		if !t.crashes.NeedsIsolation() {
 			continue
 		}
-		t.waitAlone(now)
+		t.beginIsolationWait(now)
 		if !reserved {
-			s.keep(g.task(index), spec, t, now)
+			s.reserveWorker(g.task(index), spec, t, now)
 			reserved = true
 		}
 	}
 }
 
 // assignGang returns a worker for each idle task of a step, or nil if one task finds none.
-func (s *Shard) fitGang(g group, step *stepState, spec *job.Step, rack string, now time.Time) map[int]*workerState {
-	a := &gangFit{
-		shard:    s,
-		group:    g,
-		step:     step,
-		spec:     spec,
-		rack:     rack,
-		chosen:   make(map[int]*workerState),
-		members:  make(map[*workerState]int),
-		suspects: make(map[*workerState]int),
-		alone:    make(map[*workerState]bool),
+func (s *Shard) assignGang(g group, step *stepState, spec *job.Step, rack string, now time.Time) map[int]*workerState {
+	a := &gangAssignment{
+		shard:        s,
+		group:        g,
+		step:         step,
+		spec:         spec,
+		rack:         rack,
+		chosen:       make(map[int]*workerState),
+		memberCount:  make(map[*workerState]int),
+		suspectCount: make(map[*workerState]int),
+		dedicated:    make(map[*workerState]bool),
 	}
 	for _, index := range step.idle {
-		if !a.choose(index, now) {
+		if !a.assign(index, now) {
 			return nil
 		}
 	}
@@ -103,17 +103,17 @@
 }
 
 // assign gives one more task the best worker and reports whether there is one.
-func (a *gangFit) choose(index int, now time.Time) bool {
+func (a *gangAssignment) assign(index int, now time.Time) bool {
 	t := a.step.tasks[index]
 	var best *workerState
 	minWeight := 0.0
 	for _, w := range a.shard.workers {
-		if !a.takes(w, index, now) {
+		if !a.eligible(w, index, now) {
 			continue
 		}
 		weight := a.shard.weigh(w, a.spec, t)
 		if t.isSuspect() {
-			weight += weightSuspects * float64(a.suspects[w])
+			weight += weightPerSuspect * float64(a.suspectCount[w])
 		}
 		if best == nil || weight < minWeight {
 			best = w
@@ -124,28 +124,28 @@
 		return false
 	}
 	a.chosen[index] = best
-	a.members[best]++
+	a.memberCount[best]++
 	if t.isSuspect() {
-		a.suspects[best]++
+		a.suspectCount[best]++
 	}
-	a.alone[best] = t.crashed.Alone()
+	a.dedicated[best] = t.crashes.NeedsIsolation()
 	return true
 }
 
 // eligible reports whether a worker can run one more task of the gang.
-func (a *gangFit) takes(w *workerState, index int, now time.Time) bool {
+func (a *gangAssignment) eligible(w *workerState, index int, now time.Time) bool {
 	t := a.step.tasks[index]
 	c := newCandidate(a.group.task(index), a.spec, t)
-	if a.shard.refuses(w, c, now) != takes {
+	if a.shard.checkEligibility(w, c, now) != eligible {
 		return false
 	}
-	if a.alone[w] || (t.crashed.Alone() && a.members[w] > 0) || (a.rack != "" && w.reg.Rack != a.rack) {
+	if a.dedicated[w] || (t.crashes.NeedsIsolation() && a.memberCount[w] > 0) || (a.rack != "" && w.reg.Rack != a.rack) {
 		return false
 	}
-	if a.spec.PerWorker > 0 && a.members[w]+w.onStep(c.id) >= a.spec.PerWorker {
+	if a.spec.PerWorker > 0 && a.memberCount[w]+w.countRuns(c.id) >= a.spec.PerWorker {
 		return false
 	}
-	return w.free().Sub(times(a.spec.Charge(), a.members[w])).Fits(a.spec.Charge())
+	return w.free().Sub(scale(a.spec.Charge(), a.memberCount[w])).Fits(a.spec.Charge())
 }
 
 // racks returns the racks of all workers in sorted order.
--- a/shard/isolation.go
+++ b/shard/isolation.go
@@ -10,32 +10,32 @@
 
 // reservationTimeout is how long a worker stays reserved for an isolated task after the last
 // placement that reserved it. It spans several placements.
-const keepFor = 2 * time.Second
+const reservationTimeout = 2 * time.Second
 
 // isolatedTask is an idle task that must share its worker with no other, because workers crashed
 // under it.
-type aloneTask struct {
+type isolatedTask struct {
 	group group
 	index int
 	// waitingSince is when the task began to wait for an empty worker; zero if it does not wait.
-	since time.Time
+	waitingSince time.Time
 }
 
 // task returns the task's state.
-func (a aloneTask) task() *taskState {
+func (a isolatedTask) task() *taskState {
 	return a.group.job.occurrences[a.group.occurrence].steps[a.group.step].tasks[a.index]
 }
 
 // placeIsolated starts isolated tasks, those that have waited longest first. It runs after all
 // other tasks are placed, which don't use reserved workers: placing isolated tasks first serves
 // less work in time and fails more jobs when many tasks crash their workers.
-func (s *Shard) placeAlone(groups []group, unobserved blindness, now time.Time) {
-	for _, a := range s.aloneTasks(groups, unobserved) {
-		if !s.mayPlace(a.group, now) {
+func (s *Shard) placeIsolated(groups []group, unobserved unobservedTasks, now time.Time) {
+	for _, a := range s.isolatedTasks(groups, unobserved) {
+		if !s.ensureTickets(a.group, now) {
 			continue
 		}
 		t := a.task()
-		t.waitAlone(now)
+		t.beginIsolationWait(now)
 		id := a.group.task(a.index)
 		spec := &a.group.job.record.Spec.Steps[a.group.step]
 		if !s.withinQuota(a.group.job, spec, 1) {
@@ -44,11 +44,11 @@
 		}
 		w := s.choose(id, spec, t, now)
 		if w == nil {
-			s.keep(id, spec, t, now)
-			s.tellWait(a.group.job, newCandidate(id, spec, t), now)
+			s.reserveWorker(id, spec, t, now)
+			s.logWait(a.group.job, newCandidate(id, spec, t), now)
 			continue
 		}
-		if !s.affords(spec, a.group.job, 1, now) {
+		if !s.takeStartBudget(spec, a.group.job, 1, now) {
 			return
 		}
 		s.start(a.group.job, t, spec, id, w, now)
@@ -57,8 +57,8 @@
 
 // isolatedTasks returns the idle isolated tasks that may start, the longest wait first. It
 // leaves out members of a gang, which start with their gang.
-func (s *Shard) aloneTasks(groups []group, unobserved blindness) []aloneTask {
-	var list []aloneTask
+func (s *Shard) isolatedTasks(groups []group, unobserved unobservedTasks) []isolatedTask {
+	var list []isolatedTask
 	for _, g := range groups {
 		step := g.job.occurrences[g.occurrence].steps[g.step]
 		if g.job.record.Spec.Steps[g.step].Gang {
@@ -66,116 +66,116 @@
 		}
 		for _, index := range step.idle {
 			t := step.tasks[index]
-			if t.crashed.Alone() && !s.held(t) && !unobserved.hides(g.task(index)) {
-				list = append(list, aloneTask{
-					group: g,
-					index: index,
-					since: t.aloneSince,
+			if t.crashes.NeedsIsolation() && !s.isBlocked(t) && !unobserved.contains(g.task(index)) {
+				list = append(list, isolatedTask{
+					group:        g,
+					index:        index,
+					waitingSince: t.isolatedWaitSince,
 				})
 			}
 		}
 	}
 	sort.SliceStable(list, func(i, j int) bool {
-		return list[i].isOlder(list[j])
+		return list[i].hasWaitedLonger(list[j])
 	})
 	return list
 }
 
 // hasWaitedLonger reports whether a task began to wait before another one. A task that does not
 // wait yet comes last.
-func (a aloneTask) isOlder(than aloneTask) bool {
-	if a.since.IsZero() || than.since.IsZero() {
-		return !a.since.IsZero() && than.since.IsZero()
+func (a isolatedTask) hasWaitedLonger(than isolatedTask) bool {
+	if a.waitingSince.IsZero() || than.waitingSince.IsZero() {
+		return !a.waitingSince.IsZero() && than.waitingSince.IsZero()
 	}
-	return a.since.Before(than.since)
+	return a.waitingSince.Before(than.waitingSince)
 }
 
 // beginIsolationWait records that an isolated task waits for a worker, unless it waits already.
-func (t *taskState) waitAlone(now time.Time) {
-	if t.aloneSince.IsZero() {
-		t.aloneSince = now
+func (t *taskState) beginIsolationWait(now time.Time) {
+	if t.isolatedWaitSince.IsZero() {
+		t.isolatedWaitSince = now
 	}
 }
 
 // endIsolationWait ends the wait of a task that starts for an empty worker, and logs it if there
 // was one.
-func (s *Shard) endWait(id job.TaskID, t *taskState, w *workerState, now time.Time) {
-	if !t.aloneSince.IsZero() && t.aloneSince.Before(now) {
-		s.opts.Report("suspect waits no more", "task", id.String(), "worker", w.reg.ID, "waited_ms", now.Sub(t.aloneSince).Milliseconds(),
+func (s *Shard) endIsolationWait(id job.TaskID, t *taskState, w *workerState, now time.Time) {
+	if !t.isolatedWaitSince.IsZero() && t.isolatedWaitSince.Before(now) {
+		s.opts.LogEvent("suspect waits no more", "task", id.String(), "worker", w.reg.ID, "waited_ms", now.Sub(t.isolatedWaitSince).Milliseconds(),
 			"beside", len(w.runs))
 	}
-	t.aloneSince = time.Time{}
-	t.toldWaits = false
+	t.isolatedWaitSince = time.Time{}
+	t.loggedWait = false
 }
 
 // isolationWaitExpired reports whether an isolated task has waited for an empty worker for so
 // long that it may start beside other tasks.
-func (t *taskState) waitsTooLong(lasting bool, now time.Time) bool {
-	most := suspect.AloneWait
+func (t *taskState) isolationWaitExpired(lasting bool, now time.Time) bool {
+	most := suspect.IsolationWait
 	if lasting {
-		most = suspect.AloneWaitLasting
+		most = suspect.LongRunningIsolationWait
 	}
-	return !t.aloneSince.IsZero() && now.Sub(t.aloneSince) >= most
+	return !t.isolatedWaitSince.IsZero() && now.Sub(t.isolatedWaitSince) >= most
 }
 
 // allowsSharing reports whether a task may start beside the runs of a worker. An isolated task
 // needs an empty worker unless its wait has expired. No task starts beside an isolated one, and
 // only isolated tasks start on a reserved worker.
-func (s *Shard) admits(w *workerState, c candidate, now time.Time) bool {
-	if w.alone > 0 {
+func (s *Shard) allowsSharing(w *workerState, c candidate, now time.Time) bool {
+	if w.isolated > 0 {
 		return false
 	}
-	if c.task.crashed.Alone() {
-		return len(w.runs) == 0 || c.task.waitsTooLong(c.spec.Lasting, now)
+	if c.task.crashes.NeedsIsolation() {
+		return len(w.runs) == 0 || c.task.isolationWaitExpired(c.spec.Lasting, now)
 	}
-	return !now.Before(w.keptUntil)
+	return !now.Before(w.reservedUntil)
 }
 
 // reserveWorker reserves a worker for an isolated task that found no empty one: nothing else
 // starts there, so that it empties. If no more workers may be reserved, the task waits, which is
 // logged once per wait.
-func (s *Shard) keep(id job.TaskID, spec *job.Step, t *taskState, now time.Time) {
+func (s *Shard) reserveWorker(id job.TaskID, spec *job.Step, t *taskState, now time.Time) {
 	c := newCandidate(id, spec, t)
-	c.emptied = true
+	c.assumeEmpty = true
 	var best *workerState
 	taken, usable := 0, 0
 	for _, w := range s.workers {
-		if !s.takes(w, now) {
+		if !s.eligible(w, now) {
 			continue
 		}
 		usable++
-		if w.alone > 0 || now.Before(w.keptUntil) {
+		if w.isolated > 0 || now.Before(w.reservedUntil) {
 			taken++
 		}
-		if s.refuses(w, c, now) == takes && s.emptiesSooner(w, best, now) {
+		if s.checkEligibility(w, c, now) == eligible && s.isBetterReservation(w, best, now) {
 			best = w
 		}
 	}
-	kept := best != nil && now.Before(best.keptUntil)
-	if best == nil || (!kept && taken >= suspect.AloneMost(usable)) {
-		if !t.toldWaits {
-			t.toldWaits = true
-			s.opts.Report("suspect waits for a worker of its own", "task", id.String(), "kept", taken, "workers", usable)
+	kept := best != nil && now.Before(best.reservedUntil)
+	if best == nil || (!kept && taken >= suspect.MaxReserved(usable)) {
+		if !t.loggedWait {
+			t.loggedWait = true
+			s.opts.LogEvent("suspect waits for a worker of its own", "task", id.String(), "kept", taken, "workers", usable)
 		}
 		return
 	}
 	if !kept {
-		s.opts.Report("worker kept for a suspect", "task", id.String(), "worker", best.reg.ID, "runs", len(best.runs))
+		s.opts.LogEvent("worker kept for a suspect", "task", id.String(), "worker", best.reg.ID, "runs", len(best.runs))
 	}
-	best.keptUntil = now.Add(keepFor)
+	best.reservedUntil = now.Add(reservationTimeout)
 }
 
 // isBetterReservation reports whether it is better to reserve w than another worker, which may be
 // nil. It prefers workers without long-running tasks, which end only if they are moved, then
 // workers that are reserved already, then those with the fewest runs.
-func (s *Shard) emptiesSooner(w, than *workerState, now time.Time) bool {
+func (s *Shard) isBetterReservation(w, than *workerState, now time.Time) bool {
 	if than == nil {
 		return true
 	}
-	if lasts, others := s.holdsLasting(w), s.holdsLasting(than); lasts != others {
+	if lasts, others := s.hasLongRunning(w), s.hasLongRunning(than); lasts != others {
 		return others
 	}
-	if kept, other := now.Before(w.keptUntil), now.Before(than.keptUntil); kept != other {
+	if kept, other := now.Before(w.reservedUntil), now.Before(than.reservedUntil); kept != other {
 		return kept
 	}
 	if len(w.runs) != len(than.runs) {
@@ -185,9 +185,9 @@
 }
 
 // hasLongRunning reports whether a long-running task runs on a worker.
-func (s *Shard) holdsLasting(w *workerState) bool {
+func (s *Shard) hasLongRunning(w *workerState) bool {
 	for id := range w.runs {
-		if s.isLasting(id) {
+		if s.isLongRunning(id) {
 			return true
 		}
 	}
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -9,7 +9,7 @@
 // maxDeferredCancels bounds the deferred cancellations. There are few, since an entry writes the
 // row of a cancellation only after it has found the row of the job; the bound is the one of the
 // jobs that wait for their record. The row of a cancellation beyond it stays for the next owner.
-const withdrawnMost = SubmittedMost
+const maxDeferredCancels = MaxSubmitted
 
 // Accept adds a job whose record is stored in the table at the given version. direct says that the
 // entry that wrote the record notified this owner itself and had notified no other owner before.
@@ -17,13 +17,13 @@
 	if _, known := s.jobs[record.ID]; known {
 		return
 	}
-	j := s.add(record)
-	j.fresh = direct && version > s.newVersion && !s.standbyUnread
-	s.opts.Show(record.ID, job.Queued)
-	s.opts.Report("job taken", "job", record.ID, "route", record.Route, "organisation", record.Organisation, "version", version, "fresh", j.fresh,
-		"age_ms", now.Sub(record.accepted()).Milliseconds())
+	j := s.addJob(record)
+	j.fresh = direct && version > s.claimVersion && !s.standbyUnread
+	s.opts.PublishState(record.ID, job.Queued)
+	s.opts.LogEvent("job taken", "job", record.ID, "route", record.Route, "organisation", record.Organisation, "version", version, "fresh", j.fresh,
+		"age_ms", now.Sub(record.acceptedAt()).Milliseconds())
 	s.schedule(j, now)
-	s.cancelAwaited(record.ID, now)
+	s.applyDeferredCancel(record.ID, now)
 }
 
 // Restore adds a job with the progress that an earlier owner wrote, nil if none was written.
@@ -31,24 +31,24 @@
 	if _, known := s.jobs[record.ID]; known {
 		return nil
 	}
-	j := s.add(record)
+	j := s.addJob(record)
 	j.restored = true
 	if progress == nil {
-		s.opts.Show(record.ID, job.Queued)
+		s.opts.PublishState(record.ID, job.Queued)
 		s.schedule(j, now)
-		s.cancelAwaited(record.ID, now)
+		s.applyDeferredCancel(record.ID, now)
 		return nil
 	}
 	if err := j.restore(*progress); err != nil {
 		return err
 	}
-	s.watchTrials(j)
+	s.indexPossibleCrashes(j)
 	if progress.State != job.Queued {
-		s.begin(j)
-		s.opts.Show(record.ID, job.Running)
+		s.markStarted(j)
+		s.opts.PublishState(record.ID, job.Running)
 	}
 	s.schedule(j, now)
-	s.cancelAwaited(record.ID, now)
+	s.applyDeferredCancel(record.ID, now)
 	return nil
 }
 
@@ -62,23 +62,23 @@
 			ID:    id,
 			Route: progress.Route,
 		},
-		state:   progress.State,
-		begun:   true,
-		settled: true,
-		ended:   time.UnixMilli(progress.EndedMillis),
+		state:       progress.State,
+		started:     true,
+		finalStored: true,
+		endedAt:     time.UnixMilli(progress.EndedMillis),
 	}
-	s.opts.Show(id, progress.State)
+	s.opts.PublishState(id, progress.State)
 }
 
 // addJob adds a queued job, with the newest policy of its route if there is one.
-func (s *Shard) add(record Record) *jobState {
+func (s *Shard) addJob(record Record) *jobState {
 	policy := record.Policy
 	if newest, found := s.opts.Policy(record.Route); found {
 		policy = newest
 	}
 	j := newJob(record, policy)
 	s.jobs[record.ID] = j
-	s.countPending(j, 1)
+	s.addPending(j, 1)
 	return j
 }
 
@@ -86,22 +86,22 @@
 func (s *Shard) schedule(j *jobState, now time.Time) {
 	if j.record.Spec.Repeats > 0 {
 		s.repeating[j.record.ID] = j
-		s.beginOccurrences(now)
-	} else if j.begunOccurrences == 0 {
-		j.beginNext()
+		s.addDueOccurrences(now)
+	} else if j.dueOccurrences == 0 {
+		j.addOccurrence()
 	}
 	for k, o := range j.occurrences {
-		o.left = 0
+		o.remaining = 0
 		for _, step := range o.steps {
-			if step.left > 0 {
-				o.left++
+			if step.remaining > 0 {
+				o.remaining++
 			}
 		}
-		if o.left == 0 && k < j.begunOccurrences {
-			j.left--
+		if o.remaining == 0 && k < j.dueOccurrences {
+			j.remaining--
 		}
 	}
-	if j.left == 0 {
+	if j.remaining == 0 {
 		s.finishJob(j, job.Completed, now)
 		return
 	}
@@ -109,13 +109,13 @@
 }
 
 // addDueOccurrences adds the occurrences of repeating jobs that have come due.
-func (s *Shard) beginOccurrences(now time.Time) {
+func (s *Shard) addDueOccurrences(now time.Time) {
 	for id, j := range s.repeating {
-		for j.begunOccurrences < j.record.Spec.Occurrences() && !now.Before(j.record.Spec.Due(j.begunOccurrences)) {
-			j.beginNext()
+		for j.dueOccurrences < j.record.Spec.Occurrences() && !now.Before(j.record.Spec.Due(j.dueOccurrences)) {
+			j.addOccurrence()
 			s.waiting[id] = j
 		}
-		if j.begunOccurrences == j.record.Spec.Occurrences() {
+		if j.dueOccurrences == j.record.Spec.Occurrences() {
 			delete(s.repeating, id)
 		}
 	}
@@ -131,23 +131,23 @@
 		return false
 	}
 	if j.state.Final() {
-		if _, unwritten := s.dirty[id]; !unwritten && j.asked == nil {
+		if _, unwritten := s.dirty[id]; !unwritten && j.cancelWaiters == nil {
 			done()
 			return true
 		}
-		j.asked = append(j.asked, done)
+		j.cancelWaiters = append(j.cancelWaiters, done)
 		return true
 	}
 	if s.standbyUnread {
-		if !s.awaitJob(id, false) {
+		if !s.deferCancel(id, false) {
 			return false
 		}
-		j.asked = append(j.asked, done)
+		j.cancelWaiters = append(j.cancelWaiters, done)
 		return true
 	}
-	s.opts.Report("job cancelled", "job", id, "state", string(j.state), "runs", j.active)
+	s.opts.LogEvent("job cancelled", "job", id, "state", string(j.state), "runs", j.activeRuns)
 	s.unsubmit(j)
-	j.asked = append(j.asked, done)
+	j.cancelWaiters = append(j.cancelWaiters, done)
 	s.finishJob(j, job.Cancelled, now)
 	return true
 }
@@ -157,7 +157,7 @@
 func (s *Shard) CancelByRow(id string, now time.Time) {
 	j, known := s.jobs[id]
 	if !known || s.standbyUnread {
-		s.awaitJob(id, true)
+		s.deferCancel(id, true)
 		return
 	}
 	j.cancelRow = true
@@ -169,23 +169,23 @@
 }
 
 // deferCancel keeps a cancellation until it can be applied. It reports false if too many are kept.
-func (s *Shard) awaitJob(id string, byRow bool) bool {
-	_, deferred := s.withdrawn[id]
-	s.opts.Report("cancellation deferred", "job", id, "by_row", byRow, "waiting", len(s.withdrawn))
-	if !deferred && len(s.withdrawn) >= withdrawnMost {
+func (s *Shard) deferCancel(id string, byRow bool) bool {
+	_, deferred := s.deferredCancels[id]
+	s.opts.LogEvent("cancellation deferred", "job", id, "by_row", byRow, "waiting", len(s.deferredCancels))
+	if !deferred && len(s.deferredCancels) >= maxDeferredCancels {
 		return false
 	}
-	s.withdrawn[id] = s.withdrawn[id] || byRow
+	s.deferredCancels[id] = s.deferredCancels[id] || byRow
 	return true
 }
 
 // applyDeferredCancel cancels a job that is known now if a cancellation of it was deferred.
-func (s *Shard) cancelAwaited(id string, now time.Time) {
-	byRow, found := s.withdrawn[id]
+func (s *Shard) applyDeferredCancel(id string, now time.Time) {
+	byRow, found := s.deferredCancels[id]
 	if _, known := s.jobs[id]; !found || !known || s.standbyUnread {
 		return
 	}
-	delete(s.withdrawn, id)
+	delete(s.deferredCancels, id)
 	if byRow {
 		s.CancelByRow(id, now)
 		return
@@ -194,7 +194,7 @@
 }
 
 // JobState returns the state of a job as decided by this owner, which may not be stored yet.
-func (s *Shard) Known(id string) (job.State, bool) {
+func (s *Shard) JobState(id string) (job.State, bool) {
 	j, known := s.jobs[id]
 	if !known {
 		return "", false
@@ -203,23 +203,23 @@
 }
 
 // forgetEndedJobs drops jobs that ended long ago and has their rows deleted.
-func (s *Shard) forget(now time.Time) {
-	if now.Before(s.forgetAt) {
+func (s *Shard) forgetEndedJobs(now time.Time) {
+	if now.Before(s.nextPurgeAt) {
 		return
 	}
-	s.forgetAt = now.Add(forgetPause)
+	s.nextPurgeAt = now.Add(forgetInterval)
 	for id, j := range s.jobs {
-		if !j.state.Final() || j.active > 0 || j.inStandby || now.Sub(j.ended) < 2*s.opts.ShownFor {
+		if !j.state.Final() || j.activeRuns > 0 || j.inStandby || now.Sub(j.endedAt) < 2*s.opts.JobRetention {
 			continue
 		}
 		if _, unwritten := s.dirty[id]; unwritten {
 			continue
 		}
 		delete(s.jobs, id)
-		s.removed = append(s.removed, id)
-		s.opts.Show(id, "")
+		s.removedJobs = append(s.removedJobs, id)
+		s.opts.PublishState(id, "")
 	}
 }
 
 // forgetInterval is the time between two searches for ended jobs to drop.
-const forgetPause = 5 * time.Second
+const forgetInterval = 5 * time.Second
--- a/shard/jobstate.go
+++ b/shard/jobstate.go
@@ -26,33 +26,33 @@
 
 	// canBeOnTime means that the job had not started and could still meet its deadline at the
 	// last evaluation.
-	hopeful bool
+	canBeOnTime bool
 
 	// started means that a task of the job has started, or that the job has ended.
-	begun bool
+	started bool
 
 	// occurrences holds the occurrences that have come due, dueOccurrences in number.
-	occurrences      []*occurrence
-	begunOccurrences int
+	occurrences    []*occurrence
+	dueOccurrences int
 
 	// remaining counts the occurrences that have not ended, due or not.
-	left int
+	remaining int
 
 	// deadline is the time until which the completed job earns its full value.
 	deadline time.Time
 
 	// endedAt is when the job reached a final state.
-	ended time.Time
+	endedAt time.Time
 
 	// activeRuns counts the runs on workers, including those that are being stopped.
-	active int
+	activeRuns int
 
 	// unwritten means that the job was submitted to this owner and its record is not stored yet;
 	// until then the job is neither started nor shown. submitted means that no batch holds the
 	// record yet. submitWaiters are called with the answer to the submission.
-	unwritten bool
-	submitted bool
-	handed    []func(Answer)
+	unwritten     bool
+	submitted     bool
+	submitWaiters []func(SubmitResult)
 
 	// offeredStandby means that a batch for the standby part holds the job's record or final
 	// state, or that the final state is already stored there. inStandby means that the standby
@@ -60,13 +60,13 @@
 	// service's own part.
 	offeredStandby bool
 	inStandby      bool
-	settled        bool
+	finalStored    bool
 
 	// cancelRow means that a row requests the job's cancellation.
 	cancelRow bool
 
 	// cancelWaiters are called once the cancellation of the job is stored.
-	asked []func()
+	cancelWaiters []func()
 }
 
 // occurrence is one execution of all steps of a job.
@@ -74,7 +74,7 @@
 	steps []*stepState
 
 	// remaining counts the steps with a task that has not succeeded.
-	left int
+	remaining int
 }
 
 // stepState is one step of one occurrence.
@@ -82,7 +82,7 @@
 	tasks []*taskState
 
 	// remaining counts the tasks that have not succeeded.
-	left int
+	remaining int
 
 	// idle lists the indices of tasks that are neither done nor on a worker.
 	idle []int
@@ -93,19 +93,19 @@
 	done bool
 
 	// failedRuns lists the numbers of the failed runs, each once.
-	failed []int64
+	failedRuns []int64
 
 	// crashes holds the workers that crashed while they ran the task, and possibleCrashes those
 	// that may have, because it is unknown how the run there ended. crashBatch is the batch that
 	// stores the newest of crashes.
-	crashed   suspect.Marks
-	trials    suspect.Marks
-	markBatch int64
+	crashes         suspect.Crashes
+	possibleCrashes suspect.Crashes
+	crashBatch      int64
 
 	// isolatedWaitSince is when the task began to wait for a dedicated worker, zero if it does
 	// not. loggedWait means that it was logged that no worker can be reserved for it.
-	aloneSince time.Time
-	toldWaits  bool
+	isolatedWaitSince time.Time
+	loggedWait        bool
 
 	// lastRun is the highest run number that this owner has assigned or found on a worker.
 	lastRun int64
@@ -117,14 +117,14 @@
 	runs []*run
 
 	// failedWorkers lists the incarnations of workers on which a run of the task failed.
-	avoid []outside.Incarnation
+	failedWorkers []outside.Incarnation
 
 	// idleSince is when the task last lost its run; zero before its first.
 	idleSince time.Time
 }
 
 // runTimeStats is a running mean of run times.
-type measure struct {
+type runTimeStats struct {
 	mean  time.Duration
 	count int
 }
@@ -132,17 +132,17 @@
 // newJob returns a queued job without occurrences.
 func newJob(record Record, policy catalog.Policy) *jobState {
 	j := &jobState{
-		record: record,
-		policy: policy,
-		state:  job.Queued,
-		left:   record.Spec.Occurrences(),
+		record:    record,
+		policy:    policy,
+		state:     job.Queued,
+		remaining: record.Spec.Occurrences(),
 	}
-	j.deadline = record.accepted().Add(policy.Target + time.Duration(policy.Stretch*float64(chain(record.Spec))))
+	j.deadline = record.acceptedAt().Add(policy.Target + time.Duration(policy.Stretch*float64(criticalPath(record.Spec))))
 	return j
 }
 
 // criticalPath returns the longest sum of estimates along a chain of dependent steps.
-func chain(spec job.Spec) time.Duration {
+func criticalPath(spec job.Spec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	longest := time.Duration(0)
 	for i := range spec.Steps {
@@ -158,11 +158,11 @@
 
 // isLate reports whether the job is past its deadline. Long-running and repeating jobs have none.
 func (j *jobState) isLate(now time.Time) bool {
-	return j.record.Spec.Repeats == 0 && !j.lasts() && now.After(j.deadline)
+	return j.record.Spec.Repeats == 0 && !j.hasLongRunningStep() && now.After(j.deadline)
 }
 
 // hasLongRunningStep reports whether a step of the job runs until the job is cancelled.
-func (j *jobState) lasts() bool {
+func (j *jobState) hasLongRunningStep() bool {
 	for i := range j.record.Spec.Steps {
 		if j.record.Spec.Steps[i].Lasting {
 			return true
@@ -172,14 +172,14 @@
 }
 
 // addOccurrence adds the next occurrence, with all tasks idle.
-func (j *jobState) beginNext() {
+func (j *jobState) addOccurrence() {
 	o := &occurrence{
-		left: len(j.record.Spec.Steps),
+		remaining: len(j.record.Spec.Steps),
 	}
 	for s := range j.record.Spec.Steps {
 		count := j.record.Spec.Steps[s].Count
 		step := &stepState{
-			left: count,
+			remaining: count,
 		}
 		for i := 0; i < count; i++ {
 			step.tasks = append(step.tasks, &taskState{})
@@ -188,13 +188,13 @@
 		o.steps = append(o.steps, step)
 	}
 	j.occurrences = append(j.occurrences, o)
-	j.begunOccurrences++
+	j.dueOccurrences++
 }
 
 // isReady reports whether the steps that a step depends on have succeeded, so that it may start.
-func (j *jobState) ready(occurrence, step int) bool {
+func (j *jobState) isReady(occurrence, step int) bool {
 	for _, earlier := range j.record.Spec.Steps[step].After {
-		if j.occurrences[occurrence].steps[earlier].left > 0 {
+		if j.occurrences[occurrence].steps[earlier].remaining > 0 {
 			return false
 		}
 	}
@@ -203,7 +203,7 @@
 
 // task returns a task by its ID, or nil if the job has no such task or it is not due yet.
 func (j *jobState) task(id job.TaskID) *taskState {
-	if id.Occurrence >= j.begunOccurrences || id.Step >= len(j.record.Spec.Steps) {
+	if id.Occurrence >= j.dueOccurrences || id.Step >= len(j.record.Spec.Steps) {
 		return nil
 	}
 	step := j.occurrences[id.Occurrence].steps[id.Step]
@@ -217,11 +217,11 @@
 // counts for all members.
 func (j *jobState) attempts(id job.TaskID, t *taskState) int {
 	if !j.record.Spec.Steps[id.Step].Gang {
-		return len(t.failed)
+		return len(t.failedRuns)
 	}
 	failedRuns := make(map[int64]bool)
 	for _, member := range j.occurrences[id.Occurrence].steps[id.Step].tasks {
-		for _, number := range member.failed {
+		for _, number := range member.failedRuns {
 			failedRuns[number] = true
 		}
 	}
@@ -234,13 +234,13 @@
 		return false
 	}
 	s.tasks[index].done = true
-	s.left--
-	s.unidle(index)
+	s.remaining--
+	s.removeIdle(index)
 	return true
 }
 
 // removeIdle removes a task from the idle list.
-func (s *stepState) unidle(index int) {
+func (s *stepState) removeIdle(index int) {
 	for i, other := range s.idle {
 		if other == index {
 			s.idle = append(s.idle[:i], s.idle[i+1:]...)
--- a/shard/late_start_test.go
+++ b/shard/late_start_test.go
@@ -22,14 +22,14 @@
 	w.run(200 * time.Millisecond)
 	long := step(1)
 	long.Estimate = 8 * time.Second
-	w.lose = 6 * time.Second
+	w.startDelay = 6 * time.Second
 	w.submit("a", long)
 	w.run(50 * time.Millisecond)
-	w.lose = 0
-	crashed := startedAt(w, "a")
-	w.startAgain(crashed, 5500*time.Millisecond)
+	w.startDelay = 0
+	crashed := startedWorker(w, "a")
+	w.restartWorker(crashed, 5500*time.Millisecond)
 	w.run(5400 * time.Millisecond)
-	is.Equal(len(holderOf(w, "a")), 1) // The task runs on the other worker.
+	is.Equal(len(reachableWorkersOf(w, "a")), 1) // The task runs on the other worker.
 	w.lateAnswers = 800 * time.Millisecond
 	w.run(300 * time.Millisecond)
 	is.True(crashed.fence > 0) // The first poll has reached the next incarnation.
@@ -42,7 +42,7 @@
 }
 
 // startedWorker returns the worker of the only start that was ordered so far.
-func startedAt(w *world, id string) *fakeWorker {
+func startedWorker(w *world, id string) *fakeWorker {
 	for worker, load := range w.core.Load(w.now).Workers {
 		if load.Runs > 0 {
 			return w.workers[worker]
@@ -54,11 +54,11 @@
 // TestLateStartsUnderFaults restarts workers under their ids while starts get no answer and are
 // carried out up to 3 s late, and answers to polls take up to 1.5 s.
 func TestLateStartsUnderFaults(t *testing.T) {
-	prove.Property(t, lateStarts)
+	prove.Property(t, simulateLateStarts)
 }
 
 // simulateLateStarts does one such simulation run.
-func lateStarts(t *rapid.T) {
+func simulateLateStarts(t *rapid.T) {
 	w := newWorld(4)
 	w.run(200 * time.Millisecond)
 	names := []string{"w0", "w1", "w2", "w3"}
@@ -70,9 +70,9 @@
 		case 0:
 			w.takeOver()
 		case 1, 2:
-			w.lose = time.Duration(rapid.IntRange(0, 300).Draw(t, "late starts")) * tick
+			w.startDelay = time.Duration(rapid.IntRange(0, 300).Draw(t, "late starts")) * tick
 		case 3, 4, 5:
-			w.startAgain(f, downtime)
+			w.restartWorker(f, downtime)
 		case 6:
 			w.lateAnswers = time.Duration(rapid.IntRange(0, 150).Draw(t, "late answers")) * tick
 		default:
@@ -82,5 +82,5 @@
 		}
 		w.run(time.Duration(rapid.IntRange(1, 100).Draw(t, "wait")) * tick)
 	}
-	w.endRestarts(t)
+	w.endSimulation(t)
 }
--- a/shard/lease.go
+++ b/shard/lease.go
@@ -8,7 +8,7 @@
 
 // handoverPollWait bounds how long a poll waits at a worker whose lease may be renewed as soon as
 // the transaction in flight is applied, which takes about 20 ms.
-const namedLook = 50 * time.Millisecond
+const handoverPollWait = 50 * time.Millisecond
 
 // WorkerRows are the rows of workers that a transaction must write or delete.
 type WorkerRows struct {
@@ -29,14 +29,14 @@
 	var rows WorkerRows
 	for id, w := range s.workers {
 		// The row of a worker that was considered ended is deleted before it is written again.
-		if _, deleting := s.unrecord[id]; deleting {
+		if _, deleting := s.workerRowsToDelete[id]; deleting {
 			continue
 		}
 		if w.listed && !w.recorded && len(rows.Used) < maxRows {
 			rows.Used = append(rows.Used, w.ref())
 		}
 	}
-	for id := range s.unrecord {
+	for id := range s.workerRowsToDelete {
 		if len(rows.Ended) < maxRows {
 			rows.Ended = append(rows.Ended, id)
 		}
@@ -46,93 +46,93 @@
 
 // hasLapsed reports whether certainly nothing runs on a silent worker, because all leases there
 // have expired.
-func (w *workerState) lapsed(now time.Time) bool {
-	return w.failures > 0 && len(w.runs) == 0 && now.After(w.until) && now.After(w.blindUntil)
+func (w *workerState) hasLapsed(now time.Time) bool {
+	return w.failures > 0 && len(w.runs) == 0 && now.After(w.leaseEnd) && now.After(w.unobservedUntil)
 }
 
 // expireLeases gives up the runs on workers that could not be reached for a whole lease, but only
 // after one more poll has failed: if this owner lacked processor time and processed answers too
 // late, a worker that was running all the time can still list the runs that succeeded. While this
 // owner itself is late, it gives up nothing. Unlisted workers that stay silent are removed.
-func (s *Shard) lapse(now time.Time) {
-	late := s.pulse.late(now)
+func (s *Shard) expireLeases(now time.Time) {
+	late := s.answerLatency.late(now)
 	for id, w := range s.workers {
-		if w.failures > 0 && len(w.runs) > 0 && now.After(w.until) && w.silentAt.After(w.until) && !late {
-			s.opts.Report("lease lapsed", "worker", id, "runs", len(w.runs), "silent_ms", now.Sub(w.heard).Milliseconds())
+		if w.failures > 0 && len(w.runs) > 0 && now.After(w.leaseEnd) && w.silentPollAt.After(w.leaseEnd) && !late {
+			s.opts.LogEvent("lease lapsed", "worker", id, "runs", len(w.runs), "silent_ms", now.Sub(w.clockReadAt).Milliseconds())
 			lost := s.lostTasks(w, now)
-			s.loseRuns(w, now, "lease lapsed")
+			s.dropRuns(w, now, "lease lapsed")
 			for task := range lost {
-				s.try(task, w.incarnation().String())
+				s.addPossibleCrash(task, w.incarnation().String())
 			}
 		}
-		unreachable := w.failures > 0 && now.After(w.until) && now.After(w.blindUntil)
-		if !w.listed && unreachable && now.Sub(w.unlisted) > unlistedGrace {
-			s.loseWorker(w, now, "unlisted and silent")
+		unreachable := w.failures > 0 && now.After(w.leaseEnd) && now.After(w.unobservedUntil)
+		if !w.listed && unreachable && now.Sub(w.unlistedAt) > unlistedGrace {
+			s.workerLost(w, now, "unlisted and silent")
 			// The incarnation may still run behind a network partition. It is polled once it
 			// is listed again.
-			delete(s.gone, id)
+			delete(s.endedIncarnations, id)
 		}
 	}
-	s.judgeForgotten(now)
-	s.forgetGone(now)
-	s.forgetStarts(now)
+	s.resolvePossibleCrashes(now)
+	s.purgeEnded(now)
+	s.purgeUnansweredStarts(now)
 }
 
 // removeWorker removes a worker whose incarnation has ended.
-func (s *Shard) endWorker(w *workerState, now time.Time, reason string) {
-	s.opts.Report("worker ended", "worker", w.incarnation().String(), "reason", reason, "runs", len(w.runs))
-	if reason == reasonTaken {
+func (s *Shard) removeWorker(w *workerState, now time.Time, reason string) {
+	s.opts.LogEvent("worker ended", "worker", w.incarnation().String(), "reason", reason, "runs", len(w.runs))
+	if reason == reasonInstanceTaken {
 		for _, r := range w.runs {
-			s.reportExceeded("instance order", r.id, r.number, w)
+			s.logBudgetExceeded("instance order", r.id, r.number, w)
 		}
 	}
-	s.loseRuns(w, now, reason)
-	s.acquitAt(w)
-	s.forgetTicketsOf(w.reg.ID)
+	s.dropRuns(w, now, reason)
+	s.clearStalePossibleCrashes(w)
+	s.forgetWorkerTickets(w.reg.ID)
 	delete(s.workers, w.reg.ID)
-	s.noteGone(w.incarnation(), now)
+	s.recordEnded(w.incarnation(), now)
 	if w.recorded {
-		s.unrecord[w.reg.ID] = struct{}{}
+		s.workerRowsToDelete[w.reg.ID] = struct{}{}
 	}
 }
 
 // dropRuns drops all runs of a worker that has reported no end for them.
-func (s *Shard) loseRuns(w *workerState, now time.Time, reason string) {
+func (s *Shard) dropRuns(w *workerState, now time.Time, reason string) {
 	for _, r := range w.runs {
-		s.drop(r, now)
-		s.reportRun("run lost", r.id, r.number, w, "reason", reason)
+		s.dropRun(r, now)
+		s.logRun("run lost", r.id, r.number, w, "reason", reason)
 	}
 }
 
 // orderPolls orders the polls that are due. No worker is polled before the standby part is read,
 // because runs of jobs that are not known yet would be stopped, and their ends acknowledged.
-func (s *Shard) holds(now time.Time) {
+func (s *Shard) orderPolls(now time.Time) {
 	if s.standbyUnread {
 		return
 	}
 	for _, w := range s.workers {
-		if w.look != 0 || now.Before(w.holdAt) {
+		if w.pollCall != 0 || now.Before(w.nextPollAt) {
 			continue
 		}
-		if s.done >= w.ackBatch || s.allWritten() {
-			w.acked = w.acknowledgeable()
+		if s.writtenBatch >= w.ackBatch || s.allWritten() {
+			w.acked = w.lastAcknowledgeable()
 		}
 		// The lease of a silent worker is not extended until it answers again: each renewal
 		// would postpone the moment when the lease has certainly expired. The same applies
 		// while a row of the handover may list the worker.
 		until := time.Duration(0)
-		if w.failures == 0 && !s.isNamed(w) {
-			until = w.deadline(now, s.opts.Lease)
+		if w.failures == 0 && !s.isInHandover(w) {
+			until = w.leaseDeadline(now, s.opts.Lease)
 		}
-		w.look = s.nextCall()
-		s.orders.Holds = append(s.orders.Holds, Hold{
-			Call:   w.look,
+		w.pollCall = s.nextCall()
+		s.orders.Polls = append(s.orders.Polls, Poll{
+			Call:   w.pollCall,
 			Worker: w.ref(),
 			Renewal: outside.Renewal{
 				Until:        until,
 				Fence:        s.fenceAt(w.reg.ID),
 				Acknowledged: w.acknowledgement(),
-				Wait:         s.holdWait(w),
+				Wait:         s.pollWait(w),
 			},
 		})
 	}
@@ -150,7 +150,7 @@
 }
 
 // updateForgotten updates which ends the worker has forgotten, from the ends that it still lists.
-func (w *workerState) noteForgotten(listed []outside.End) {
+func (w *workerState) updateForgotten(listed []outside.End) {
 	first := w.processed + 1
 	for _, end := range listed {
 		first = min(first, end.Number)
@@ -159,13 +159,13 @@
 }
 
 // processEnds processes the ends that a worker lists and sets when it is polled next.
-func (s *Shard) takeEnds(w *workerState, listed []outside.End, now time.Time) {
-	w.holdAt = now
-	w.noteForgotten(listed)
+func (s *Shard) processEnds(w *workerState, listed []outside.End, now time.Time) {
+	w.nextPollAt = now
+	w.updateForgotten(listed)
 	for _, end := range listed {
 		if end.Number <= w.forgotten {
 			// A worker never lists an end again that it has forgotten.
-			s.opts.Report("end listed again", "task", end.Task.String(), "run", end.Run, "worker", w.incarnation().String(),
+			s.opts.LogEvent("end listed again", "task", end.Task.String(), "run", end.Run, "worker", w.incarnation().String(),
 				"how", string(end.Kind), "number", end.Number, "taken_in", w.processed, "acknowledged", w.acked)
 		}
 		if end.Number > w.processed {
@@ -174,36 +174,36 @@
 				s.deferEnd(w, end, now)
 				continue
 			}
-			s.ended(w, end, now)
-			w.ackBatch = s.batch + 1
-			w.holdAt = now.Add(ackPause)
+			s.handleEnd(w, end, now)
+			w.ackBatch = s.lastBatch + 1
+			w.nextPollAt = now.Add(maxAckWait)
 		}
 	}
 	if s.allWritten() {
 		// These ends changed nothing that must be written.
-		w.ackBatch = s.done
-		w.holdAt = now
+		w.ackBatch = s.writtenBatch
+		w.nextPollAt = now
 	}
-	if len(listed) > 0 && w.holdAt.Equal(now) && w.acknowledgeable() == w.acked {
-		w.holdAt = now.Add(retryFirst)
+	if len(listed) > 0 && w.nextPollAt.Equal(now) && w.lastAcknowledgeable() == w.acked {
+		w.nextPollAt = now.Add(minRetryBackoff)
 	}
 }
 
 // pollWait returns how long a poll may wait at the worker for an end.
-func (s *Shard) holdWait(w *workerState) time.Duration {
-	if w.failures > 0 || !w.known || !w.doubted.IsZero() || w.acked < w.acknowledgeable() {
+func (s *Shard) pollWait(w *workerState) time.Duration {
+	if w.failures > 0 || !w.contacted || !w.uncertainAt.IsZero() || w.acked < w.lastAcknowledgeable() {
 		return 0
 	}
-	wait := s.opts.IdleWait
+	wait := s.opts.IdlePollWait
 	if len(w.runs) > 0 {
-		wait = s.opts.BusyWait
+		wait = s.opts.BusyPollWait
 	}
-	if w.shared {
-		wait = min(wait, paceLook)
+	if w.sharedByFillers {
+		wait = min(wait, pacedPollWait)
 	}
-	if s.isNamed(w) {
+	if s.isInHandover(w) {
 		// The lease is renewed by the first poll after the transaction.
-		wait = min(wait, namedLook)
+		wait = min(wait, handoverPollWait)
 	}
 	return wait
 }
--- a/shard/link_test.go
+++ b/shard/link_test.go
@@ -15,20 +15,20 @@
 const (
 	// pollBytes and startBytes are the sizes of a poll and of a start order on the wire, without
 	// the text of the job.
-	lookBytes  = 300
+	pollBytes  = 300
 	startBytes = 400
 
 	// startTimeout is how long the owner waits for the answer to a start order.
-	startFails = 700 * time.Millisecond
+	startTimeout = 700 * time.Millisecond
 
 	// minLinkBits is the rate of the slowest link of an entry, in bits per second.
-	thinBits = 2_000_000
+	minLinkBits = 2_000_000
 )
 
 // wire is a link that sends one message after another.
 type wire struct {
 	bytesPerSecond int
-	free           time.Time
+	freeAt         time.Time
 
 	// unanswered counts messages that were queued for longer than the sender waits for an answer.
 	unanswered int
@@ -40,22 +40,22 @@
 	if w == nil {
 		return 0
 	}
-	if w.free.Before(now) {
-		w.free = now
+	if w.freeAt.Before(now) {
+		w.freeAt = now
 	}
-	w.free = w.free.Add(time.Duration(bytes) * time.Second / time.Duration(w.bytesPerSecond))
-	return w.free.Sub(now)
+	w.freeAt = w.freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(w.bytesPerSecond))
+	return w.freeAt.Sub(now)
 }
 
 // simulateDemandBurst simulates a demand burst on a slow link at a service with enough capacity.
 // Long-running tasks run, and then several times as many tasks wait as the link can order to start
 // in one second. starts bounds the bytes of start orders; nil bounds nothing.
-func replayTurn(t *testing.T, starts *link.Budget) *world {
+func simulateDemandBurst(t *testing.T, starts *link.Budget) *world {
 	t.Helper()
 	const workers = 100
 	w := newWorld(workers)
 	w.wire = &wire{
-		bytesPerSecond: thinBits / 8,
+		bytesPerSecond: minLinkBits / 8,
 	}
 	w.starts = starts
 	w.takeOver()
@@ -77,9 +77,9 @@
 // TestDemandBurstOnASlowLinkDoesNotDelayPolls simulates the beginning of a demand burst. No start
 // and no poll is queued for so long that it counts as unanswered, and every job of the burst
 // completes.
-func TestTurnOnAThinLinkLeavesRenewalsTheirPlace(t *testing.T) {
+func TestDemandBurstOnASlowLinkDoesNotDelayPolls(t *testing.T) {
 	is := is.New(t)
-	w := replayTurn(t, link.StartBudget(thinBits))
+	w := simulateDemandBurst(t, link.StartBudget(minLinkBits))
 	w.check(t)
 	is.Equal(w.wire.unanswered, 0)
 	for i := range 40 {
@@ -90,8 +90,8 @@
 
 // TestDemandBurstOnASlowLinkNeedsABudget checks that the load above needs the budget of start
 // orders: without it, messages are queued for too long, which leads to violations as well.
-func TestTurnOnAThinLinkWithoutABudget(t *testing.T) {
+func TestDemandBurstOnASlowLinkNeedsABudget(t *testing.T) {
 	is := is.New(t)
-	w := replayTurn(t, nil)
+	w := simulateDemandBurst(t, nil)
 	is.True(w.wire.unanswered > 0)
 }
--- a/shard/load.go
+++ b/shard/load.go
@@ -10,10 +10,10 @@
 
 // closedTTL is how long a worker stays closed after the last request to close it. The instance
 // controller repeats the request several times a second; if it dies, the worker soon opens again.
-const closeFor = 2 * time.Second
+const closedTTL = 2 * time.Second
 
 // reasonInstanceTaken is the reason of a worker whose instance was moved or taken down.
-const reasonTaken = "instance was taken"
+const reasonInstanceTaken = "instance was taken"
 
 // Load is the demand of a service and the capacity that it has. It serves to size the service's
 // pool.
@@ -52,27 +52,27 @@
 	Workers map[string]WorkerLoad
 
 	// isolated computes the additional resources needed by isolated tasks.
-	alone aloneNeed
+	isolated isolatedDemand
 }
 
 // isolatedDemand computes the resources that isolated tasks need in addition to their own.
-type aloneNeed struct {
+type isolatedDemand struct {
 	// workerCapacity is the mean capacity of a worker. left is how many more tasks it may
 	// be added for.
-	room job.Room
-	left int
+	workerCapacity job.Room
+	left           int
 }
 
 // need returns the capacity of one worker for each idle isolated task of a step, limited to the
 // number of workers that may be reserved for such tasks. Without it, the pool seems to have free
 // capacity while such tasks wait, and shrinks: a task waited for 33 s beside 20 workers, none of
 // which became empty.
-func (n *aloneNeed) need(step *stepState) job.Room {
+func (n *isolatedDemand) need(step *stepState) job.Room {
 	var sum job.Room
 	for _, index := range step.idle {
-		if t := step.tasks[index]; t.crashed.Alone() && !t.crashed.GivenUp() && n.left > 0 {
+		if t := step.tasks[index]; t.crashes.NeedsIsolation() && !t.crashes.GivenUp() && n.left > 0 {
 			n.left--
-			sum = sum.Add(n.room)
+			sum = sum.Add(n.workerCapacity)
 		}
 	}
 	return sum
@@ -107,8 +107,8 @@
 // SetClosed replaces the set of closed workers. No new task is placed on a closed worker, and its
 // long-running tasks are moved away as far as their steps allow it.
 func (s *Shard) SetClosed(ids []string, now time.Time) {
-	s.given = nil
-	s.anyGivenUntil = time.Time{}
+	s.releasedUntil = nil
+	s.anyReleasedUntil = time.Time{}
 	closed := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		closed[id] = true
@@ -116,9 +116,9 @@
 	for id, w := range s.workers {
 		if closed[id] {
 			if !now.Before(w.closedUntil) {
-				s.opts.Report("worker closed", "worker", id, "runs", len(w.runs))
+				s.opts.LogEvent("worker closed", "worker", id, "runs", len(w.runs))
 			}
-			w.closedUntil = now.Add(closeFor)
+			w.closedUntil = now.Add(closedTTL)
 		} else {
 			w.closedUntil = time.Time{}
 		}
@@ -130,42 +130,42 @@
 // If known is false, any worker without runs may be such a worker. Nothing is started there,
 // because the order would end it, until the controller reports the closed workers or until
 // closedTTL has passed.
-func (s *Shard) InheritGiven(ids []string, known bool, now time.Time) {
-	until := now.Add(closeFor)
+func (s *Shard) RestoreReleased(ids []string, known bool, now time.Time) {
+	until := now.Add(closedTTL)
 	if !known {
-		s.anyGivenUntil = until
+		s.anyReleasedUntil = until
 	}
-	s.given = make(map[string]time.Time, len(ids))
+	s.releasedUntil = make(map[string]time.Time, len(ids))
 	for _, id := range ids {
-		s.given[id] = until
+		s.releasedUntil[id] = until
 	}
 }
 
 // mayBeReleased reports whether an order to the worker's instance may be in flight of which this
 // owner was not told.
-func (s *Shard) mayBeGiven(w *workerState, now time.Time) bool {
-	return len(w.runs) == 0 && (now.Before(s.anyGivenUntil) || now.Before(s.given[w.reg.ID]))
+func (s *Shard) mayBeReleased(w *workerState, now time.Time) bool {
+	return len(w.runs) == 0 && (now.Before(s.anyReleasedUntil) || now.Before(s.releasedUntil[w.reg.ID]))
 }
 
 // RemoveTaken removes workers whose instance was moved or taken down, including those that are not
 // listed yet. names identifies their incarnations and may be repeated in later calls. A worker that
 // has restarted since stays: when workers were removed by ID alone, a restarted worker was refused
 // for a minute, and a new owner gave up what the previous owner had started on it.
-func (s *Shard) End(names []string, now time.Time) {
+func (s *Shard) RemoveTaken(names []string, now time.Time) {
 	for _, name := range names {
 		taken := outside.ParseIncarnation(name)
-		if s.isGone(taken) {
+		if s.hasEnded(taken) {
 			continue
 		}
 		w, found := s.workers[taken.Worker]
 		switch {
 		case !found:
-			s.noteGone(taken, now)
-		case !s.listedOnce && !taken.Born.IsZero() && w.incarnation().Born.IsZero():
+			s.recordEnded(taken, now)
+		case !s.registrationsRead && !taken.Born.IsZero() && w.incarnation().Born.IsZero():
 			// The worker's row will show whether it has restarted.
-			s.takenUnseen = append(s.takenUnseen, name)
+			s.removedUnlisted = append(s.removedUnlisted, name)
 		case w.incarnation().Same(taken):
-			s.endWorker(w, now, reasonTaken)
+			s.removeWorker(w, now, reasonInstanceTaken)
 		}
 	}
 }
@@ -175,11 +175,11 @@
 	load := Load{
 		Fence:    s.epoch,
 		Labelled: make(map[string]job.Room),
-		Room:     s.meanRoom(),
+		Room:     s.meanCapacity(),
 		Workers:  make(map[string]WorkerLoad, len(s.workers)),
-		alone: aloneNeed{
-			room: s.meanRoom(),
-			left: suspect.AloneMost(len(s.workers)),
+		isolated: isolatedDemand{
+			workerCapacity: s.meanCapacity(),
+			left:           suspect.MaxReserved(len(s.workers)),
 		},
 	}
 	for id, w := range s.workers {
@@ -188,8 +188,8 @@
 			Used:     w.used,
 			Closed:   now.Before(w.closedUntil),
 			Draining: w.reg.Draining,
-			Known:    w.known,
-			Reached:  w.known && w.failures == 0,
+			Known:    w.contacted,
+			Reached:  w.contacted && w.failures == 0,
 		}
 		if workerLoad.Closed {
 			workerLoad.Born = w.incarnation().Born
@@ -227,26 +227,26 @@
 	for k, o := range j.occurrences {
 		for st, step := range o.steps {
 			spec := &j.record.Spec.Steps[st]
-			if step.left == 0 {
+			if step.remaining == 0 {
 				continue
 			}
 			if spec.PerWorker > 0 {
 				stuck := step.stuck(now)
-				load.Spread = max(load.Spread, stuck+(step.left+spec.PerWorker-1)/spec.PerWorker)
+				load.Spread = max(load.Spread, stuck+(step.remaining+spec.PerWorker-1)/spec.PerWorker)
 			}
 			if len(step.idle) == 0 {
 				continue
 			}
-			need := times(spec.Charge(), len(step.idle)).Add(load.alone.need(step))
-			late := s.outlookOf(group{
+			need := scale(spec.Charge(), len(step.idle)).Add(load.isolated.need(step))
+			late := s.remainingValue(group{
 				job:        j,
 				occurrence: k,
 				step:       st,
-			}, now) != outlookFull
+			}, now) != valueFull
 			switch {
 			case spec.Label != "":
 				load.Labelled[spec.Label] = load.Labelled[spec.Label].Add(need)
-			case j.ready(k, st):
+			case j.isReady(k, st):
 				load.Waiting = load.Waiting.Add(need)
 				if late {
 					load.Late = load.Late.Add(need)
@@ -264,8 +264,8 @@
 // left returns how much longer a run is expected to take. A run that has exceeded the expected
 // time is expected to take half as long again as it has so far.
 func (s *Shard) left(r *run, step *job.Step, now time.Time) time.Duration {
-	passed := now.Sub(r.began)
-	expected := s.expect(s.jobs[r.id.Job], step)
+	passed := now.Sub(r.startedAt)
+	expected := s.expectedRunTime(s.jobs[r.id.Job], step)
 	if passed < expected {
 		return expected - passed
 	}
@@ -282,13 +282,13 @@
 }
 
 // isLongRunning reports whether a task belongs to a known job and runs until that job is cancelled.
-func (s *Shard) isLasting(id job.TaskID) bool {
+func (s *Shard) isLongRunning(id job.TaskID) bool {
 	spec, found := s.stepOf(id)
 	return found && spec.Lasting
 }
 
 // scale returns the resources of n tasks that need r each.
-func times(r job.Room, n int) job.Room {
+func scale(r job.Room, n int) job.Room {
 	return job.Room{
 		MilliCPU:     r.MilliCPU * n,
 		MemoryMB:     r.MemoryMB * n,
--- a/shard/order_test.go
+++ b/shard/order_test.go
@@ -12,7 +12,7 @@
 // TestStartedJobIsFinishedFirst submits a job with a slightly earlier deadline while another
 // job is half done and the worker has capacity for only one of them. The started job must
 // finish first: otherwise both miss their deadlines.
-func TestBegunJobGoesOn(t *testing.T) {
+func TestStartedJobIsFinishedFirst(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -14,20 +14,20 @@
 // being stopped on the condition that its step can spare it, the condition is removed.
 func (s *Shard) stop(r *run, reason string) {
 	if r.phase == phaseStopping || r.phase == phaseStopped {
-		if r.spared || r.notThere {
+		if r.stopWithinBudget || r.notStarted {
 			r.reason = reason
-			r.spared = false
-			r.notThere = false
+			r.stopWithinBudget = false
+			r.notStarted = false
 		}
 		return
 	}
 	r.phase = phaseStopping
 	r.reason = reason
 	r.tries = 0
-	r.spared = false
-	r.heldBack = false
-	r.notThere = false
-	s.due[r] = struct{}{}
+	r.stopWithinBudget = false
+	r.heldBackLogged = false
+	r.notStarted = false
+	s.dueRuns[r] = struct{}{}
 }
 
 // stopAgain stops a run again that a worker still lists although it has answered the stop and the
@@ -35,57 +35,57 @@
 func (s *Shard) stopAgain(r *run) {
 	r.phase = phaseStopping
 	r.tries = max(1, r.tries)
-	s.due[r] = struct{}{}
-	s.reportRun("run still listed after its stop", r.id, r.number, r.worker, "reason", r.reason)
+	s.dueRuns[r] = struct{}{}
+	s.logRun("run still listed after its stop", r.id, r.number, r.worker, "reason", r.reason)
 }
 
 // Started handles the answer to a start. clock is the worker's clock.
 func (s *Shard) Started(start Start, now time.Time, clock time.Duration, err error) {
-	r := s.answered(start.Worker.ID, start.Order.Task, start.Call)
+	r := s.awaitingRun(start.Worker.ID, start.Order.Task, start.Call)
 	if r == nil {
 		return
 	}
 	w := r.worker
 	if err == nil {
 		if r.tries == 0 {
-			s.pulse.note(now.Sub(r.began), now)
+			s.answerLatency.observe(now.Sub(r.startedAt), now)
 		}
-		w.hear(clock, now)
-		if r.phase == phaseStarting || r.phase == phaseDoubtful {
+		w.updateClock(clock, now)
+		if r.phase == phaseStarting || r.phase == phaseUncertain {
 			r.phase = phaseRunning
 		}
-		r.settled = now
+		r.answeredAt = now
 		return
 	}
-	s.startFailed(w, r, now, err)
+	s.handleStartFailure(w, r, now, err)
 }
 
 // handleStartFailure decides what happens to a run whose start failed or got no answer.
-func (s *Shard) startFailed(w *workerState, r *run, now time.Time, err error) {
-	s.reportRun("start failed", r.id, r.number, w, "error", err.Error())
+func (s *Shard) handleStartFailure(w *workerState, r *run, now time.Time, err error) {
+	s.logRun("start failed", r.id, r.number, w, "error", err.Error())
 	var gone *outside.GoneError
 	var refused *outside.WorkerRefusedError
 	switch {
 	case errors.As(err, &gone):
-		s.loseWorker(w, now, "another worker answers")
+		s.workerLost(w, now, "another worker answers")
 	case errors.As(err, &refused):
-		w.hear(refused.Clock, now)
-		s.startRefused(w, r, now, refused.Reason)
+		w.updateClock(refused.Clock, now)
+		s.handleStartRefusal(w, r, now, refused.Reason)
 	case outside.IsNotDone(err) && !r.unanswered:
-		w.avoidUntil = now.Add(avoidAfterRefusal)
-		s.drop(r, now)
+		w.avoidUntil = now.Add(refusalBackoff)
+		s.dropRun(r, now)
 	default:
-		w.doubted = now
+		w.uncertainAt = now
 		r.tries++
 		r.unanswered = true
 		if r.phase == phaseStopping || r.phase == phaseRunning {
 			// A poll has shown that the run exists; starting it again has no effect.
 			return
 		}
-		r.phase = phaseDoubtful
-		r.doubted = now
-		s.due[r] = struct{}{}
-		if r.tries >= startTries {
+		r.phase = phaseUncertain
+		r.uncertainAt = now
+		s.dueRuns[r] = struct{}{}
+		if r.tries >= maxStartAttempts {
 			s.giveUpStart(r)
 		}
 	}
@@ -95,26 +95,26 @@
 // is stopped at once to be started elsewhere: it would wait for a poll that may get no answer
 // either.
 func (s *Shard) giveUpStart(r *run) {
-	r.tries = max(r.tries, startTries)
-	if !s.isLasting(r.id) {
+	r.tries = max(r.tries, maxStartAttempts)
+	if !s.isLongRunning(r.id) {
 		s.stop(r, reasonNoAnswer)
 	}
 }
 
 // handleStartRefusal handles the refusal of a start by the worker itself.
-func (s *Shard) startRefused(w *workerState, r *run, now time.Time, reason outside.Refusal) {
-	if reason == outside.RefusedFence && !s.isOutdated(w.reg.ID, r.order.Fence) {
-		s.seeNewerOwner(w)
+func (s *Shard) handleStartRefusal(w *workerState, r *run, now time.Time, reason outside.Refusal) {
+	if reason == outside.RefusedFence && !s.isStaleFence(w.reg.ID, r.order.Fence) {
+		s.stepDown(w)
 		return
 	}
 	if r.unanswered && r.phase == phaseRunning {
 		// A poll has shown that an earlier order took effect.
 		return
 	}
-	if r.unanswered && reason == outside.RefusedUnhealthy && r.phase == phaseDoubtful && s.isLasting(r.id) {
+	if r.unanswered && reason == outside.RefusedUnhealthy && r.phase == phaseUncertain && s.isLongRunning(r.id) {
 		// The refusal says nothing about the run, which an earlier order may have started.
-		r.tries = startTries
-		r.doubted = now
+		r.tries = maxStartAttempts
+		r.uncertainAt = now
 		return
 	}
 	if r.unanswered {
@@ -125,35 +125,35 @@
 	if reason == outside.RefusedTicket {
 		delete(s.tickets, r.id.StepName())
 	} else if reason != outside.RefusedOld && reason != outside.RefusedLate && reason != outside.RefusedFence {
-		w.avoidUntil = now.Add(avoidAfterRefusal)
+		w.avoidUntil = now.Add(refusalBackoff)
 	}
-	s.drop(r, now)
+	s.dropRun(r, now)
 }
 
 // stepDown stops all orders, because a worker has seen a higher fence than this owner's.
-func (s *Shard) seeNewerOwner(w *workerState) {
-	s.opts.Report("deposed", "worker", w.reg.ID, "epoch", s.epoch, "fence", s.fenceAt(w.reg.ID))
+func (s *Shard) stepDown(w *workerState) {
+	s.opts.LogEvent("deposed", "worker", w.reg.ID, "epoch", s.epoch, "fence", s.fenceAt(w.reg.ID))
 	s.deposed = true
 }
 
 // orderDueRuns orders the stops that are due and repeats starts that got no answer.
-func (s *Shard) stops(now time.Time) {
-	for r := range s.due {
+func (s *Shard) orderDueRuns(now time.Time) {
+	for r := range s.dueRuns {
 		w := r.worker
 		if w.runs[r.id] != r {
-			delete(s.due, r)
+			delete(s.dueRuns, r)
 			continue
 		}
 		if r.call != 0 {
 			continue
 		}
 		switch r.phase {
-		case phaseDoubtful:
+		case phaseUncertain:
 			if s.isEvacuated(w) {
 				s.giveUpStart(r)
 				continue
 			}
-			if w.failures > 0 || r.tries >= startTries {
+			if w.failures > 0 || r.tries >= maxStartAttempts {
 				continue
 			}
 			r.call = s.nextCall()
@@ -164,15 +164,15 @@
 				Order:  r.order,
 			})
 		case phaseStopping:
-			if (w.failures > 0 && r.tries > 0) || now.Before(r.stopAt) || s.holdsBack(r, now) {
+			if (w.failures > 0 && r.tries > 0) || now.Before(r.nextStopAt) || s.holdsBackStop(r, now) {
 				continue
 			}
 			r.call = s.nextCall()
-			r.ordered = now
+			r.stopOrderedAt = now
 			if r.percent >= fullPercent {
-				s.reportExceeded("stop", r.id, r.number, w)
+				s.logBudgetExceeded("stop", r.id, r.number, w)
 			}
-			s.reportRun("stop ordered", r.id, r.number, w, "reason", r.reason)
+			s.logRun("stop ordered", r.id, r.number, w, "reason", r.reason)
 			s.orders.Stops = append(s.orders.Stops, Stop{
 				Call:   r.call,
 				Worker: w.ref(),
@@ -181,50 +181,50 @@
 				Fence:  s.fenceAt(w.reg.ID),
 			})
 		default:
-			delete(s.due, r)
+			delete(s.dueRuns, r)
 		}
 	}
 }
 
 // Stopped handles the answer to a stop. clock is the worker's clock.
 func (s *Shard) Stopped(stop Stop, now time.Time, clock time.Duration, err error) {
-	r := s.answered(stop.Worker.ID, stop.Task, stop.Call)
+	r := s.awaitingRun(stop.Worker.ID, stop.Task, stop.Call)
 	if r == nil {
 		return
 	}
 	w := r.worker
 	if err == nil {
-		w.hear(clock, now)
+		w.updateClock(clock, now)
 		r.phase = phaseStopped
-		r.settled = now
+		r.answeredAt = now
 		return
 	}
 	var gone *outside.GoneError
 	if errors.As(err, &gone) {
-		s.loseWorker(w, now, "another worker answers")
+		s.workerLost(w, now, "another worker answers")
 		return
 	}
 	var refused *outside.WorkerRefusedError
 	if errors.As(err, &refused) {
-		if refused.Reason == outside.RefusedFence && !s.isOutdated(w.reg.ID, stop.Fence) {
-			s.seeNewerOwner(w)
+		if refused.Reason == outside.RefusedFence && !s.isStaleFence(w.reg.ID, stop.Fence) {
+			s.stepDown(w)
 			return
 		}
 		// The worker does not know the run, or accepts no orders now.
 		r.delayStop(now)
 		if refused.Reason != outside.RefusedUnhealthy && refused.Reason != outside.RefusedFence {
 			r.phase = phaseStopped
-			r.settled = now
+			r.answeredAt = now
 		}
 		return
 	}
 	r.delayStop(now)
-	w.doubted = now
+	w.uncertainAt = now
 }
 
 // delayStop postpones the next stop of a run, with a longer backoff each time. Without it, a worker
 // that refused stops immediately was asked 200 times in 2 s to stop one run.
 func (r *run) delayStop(now time.Time) {
 	r.tries++
-	r.stopAt = now.Add(min(retryMost, retryFirst*time.Duration(r.tries)))
+	r.nextStopAt = now.Add(min(maxRetryBackoff, minRetryBackoff*time.Duration(r.tries)))
 }
--- a/shard/pace_test.go
+++ b/shard/pace_test.go
@@ -9,7 +9,7 @@
 	"lemonstream.dev/lemonstream/job"
 )
 
-func TestFillersYieldToTailsAndComeBack(t *testing.T) {
+func TestFillersArePacedByTailLatency(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
@@ -20,17 +20,17 @@
 	filling.Filler = true
 	w.submit("fill", filling)
 	f := w.workers["w0"]
-	f.figure = 20
+	f.tailLatency = 20
 	w.run(2 * time.Second)
 	is.Equal(len(f.runs), 2)
 	is.Equal(len(f.shares), 0) // No filler is paced while the tail latency is below its target.
-	f.figure = 150
+	f.tailLatency = 150
 	w.run(3 * time.Second)
 	filler := job.TaskID{
 		Job: "fill",
 	}
 	is.Equal(f.shares[filler], 0) // A tail latency above the target halts the filler.
-	f.figure = 20
+	f.tailLatency = 20
 	w.run(5 * time.Second)
 	is.Equal(f.shares[filler], 100) // The filler resumes once the tail latency is below its target.
 	_, paced := f.shares[job.TaskID{
--- a/shard/place.go
+++ b/shard/place.go
@@ -11,11 +11,11 @@
 const (
 	// excessFailureLimit is how many more failed runs than successful ones a worker may have
 	// before it is used only where no other worker has room.
-	blameLimit = 2
+	excessFailureLimit = 2
 
 	// drainMargin is how long before the end of a draining worker a task that saves its progress
 	// is stopped there, in addition to the time that the stop takes.
-	drainReserve = 700 * time.Millisecond
+	drainMargin = 700 * time.Millisecond
 
 	// fullPercent is the share, in percent, at which a long-running task counts as available. It
 	// is also the share of a filler that is not slowed down.
@@ -28,40 +28,40 @@
 
 	// startOverheadBytes is the size on the link of an order to start a task, without the text
 	// of its job: headers, names and numbers.
-	startBytes = 400
+	startOverheadBytes = 400
 
 	// newestFirstPeriod is how long the newest jobs are placed first after a waiting job could no
 	// longer end in time: about the time that a new instance takes to come.
-	lossMemory = 2 * time.Second
+	newestFirstPeriod = 2 * time.Second
 
 	// valueExpiryFactor is the multiple of its objective after which a job earns nothing, as the
 	// platform defines it.
-	lateFactor = 3
+	valueExpiryFactor = 3
 
 	// minRunTimeSamples is how many run times must be measured before they count in an
 	// expected run time.
-	expectSamples = 5
+	minRunTimeSamples = 5
 
 	// stragglerFactor is the multiple of its usual run time after which a copy of a task is
 	// started.
-	speculateAfter = 2.0
+	stragglerFactor = 2.0
 
 	// speculateInterval is the time between two searches for stragglers.
-	speculatePause = 100 * time.Millisecond
+	speculateInterval = 100 * time.Millisecond
 
 	// minSpeculateSamples is how many run times of an image must be measured before copies of
 	// its tasks are started.
-	speculateSamples = 5
+	minSpeculateSamples = 5
 )
 
 // Weights for the choice of a worker; the worker with the lowest sum is chosen. Only the order of
 // their sizes matters: a stronger reason outweighs all weaker ones.
 const (
-	weightFailedHere = 1000.0
-	weightBlamed     = 300.0
-	weightFar        = 100.0
-	weightDisturbs   = 10.0
-	weightLoad       = 1.0
+	weightFailedHere   = 1000.0
+	weightFailures     = 300.0
+	weightRemoteData   = 100.0
+	weightInterference = 10.0
+	weightLoad         = 1.0
 )
 
 // group holds the idle tasks of one step of an occurrence.
@@ -69,54 +69,54 @@
 	job        *jobState
 	occurrence int
 	step       int
-	outlook    outlook
+	valueClass valueClass
 
 	// newestFirst says that among jobs that have not started the newest is placed first.
-	newest bool
+	newestFirst bool
 }
 
 // valueClass says what a job can still earn; a lower class is placed first.
-type outlook int
+type valueClass int
 
 const (
 	// valueFull means that the job can end in time.
-	outlookFull outlook = iota
+	valueFull valueClass = iota
 
 	// valuePartial means that the job will be late and earns only a small part of its value.
-	outlookLate
+	valuePartial
 
 	// valueNone means that the job earns nothing any more; it still has to end.
-	outlookNone
+	valueNone
 )
 
 // place starts the tasks that may start and fit, the most urgent ones first.
 func (s *Shard) place(now time.Time) {
-	s.lookForUnseen(now)
+	s.refreshUnseen(now)
 	if len(s.waiting) == 0 {
 		return
 	}
-	blind := s.blind(now)
-	s.startAt = time.Time{}
-	groups := s.groups(now, blind.all)
-	s.placeGroups(groups, blind, now)
-	s.placeAlone(groups, blind, now)
+	unobserved := s.unobserved(now)
+	s.nextStartAt = time.Time{}
+	groups := s.groups(now, unobserved.all)
+	s.placeGroups(groups, unobserved, now)
+	s.placeIsolated(groups, unobserved, now)
 }
 
 // placeGroups starts the tasks of the groups, except isolated ones. It stops as soon as the
 // budget for start orders is used up.
-func (s *Shard) placeGroups(groups []group, unobserved blindness, now time.Time) {
+func (s *Shard) placeGroups(groups []group, unobserved unobservedTasks, now time.Time) {
 	var full []job.Room
 	for _, g := range groups {
-		if !s.startAt.IsZero() {
+		if !s.nextStartAt.IsZero() {
 			return
 		}
 		step := g.job.occurrences[g.occurrence].steps[g.step]
 		spec := &g.job.record.Spec.Steps[g.step]
-		if hopeless(full, spec.Charge()) || !s.mayPlace(g, now) {
+		if fitsNowhere(full, spec.Charge()) || !s.ensureTickets(g, now) {
 			continue
 		}
 		if spec.Gang {
-			if !unobserved.hidesAny(g, step) {
+			if !unobserved.containsIdle(g, step) {
 				s.placeGang(g, step, spec, now)
 			}
 			continue
@@ -128,8 +128,8 @@
 // placeStep starts the idle tasks of a step until none fits, except those that may have an unseen
 // run. It returns full, with the charge of the step added if lack of room alone can be the reason
 // that no worker took a task.
-func (s *Shard) placeStep(g group, step *stepState, spec *job.Step, full []job.Room, unobserved blindness, now time.Time) []job.Room {
-	choices := &picks{
+func (s *Shard) placeStep(g group, step *stepState, spec *job.Step, full []job.Room, unobserved unobservedTasks, now time.Time) []job.Room {
+	choices := &picker{
 		shard: s,
 		now:   now,
 	}
@@ -138,7 +138,7 @@
 	for i := len(step.idle) - 1; i >= 0; i-- {
 		index := step.idle[i]
 		id := g.task(index)
-		if unobserved.hides(id) || s.held(step.tasks[index]) || step.tasks[index].crashed.Alone() {
+		if unobserved.contains(id) || s.isBlocked(step.tasks[index]) || step.tasks[index].crashes.NeedsIsolation() {
 			continue
 		}
 		if !s.withinQuota(g.job, spec, 1) {
@@ -146,11 +146,11 @@
 			return full
 		}
 		w := choices.choose(id, spec, step.tasks[index])
-		if w != nil && !s.affords(spec, g.job, 1, now) {
+		if w != nil && !s.takeStartBudget(spec, g.job, 1, now) {
 			return full
 		}
 		if w == nil {
-			s.tellWait(g.job, newCandidate(id, spec, step.tasks[index]), now)
+			s.logWait(g.job, newCandidate(id, spec, step.tasks[index]), now)
 			if spec.Label == "" && spec.PerWorker == 0 && !g.job.policy.Advised {
 				full = append(full, spec.Charge())
 			}
@@ -165,12 +165,12 @@
 // takeStartBudget charges orders to start tasks of a step to the link budget, and reports whether
 // they may be sent now. If not, nextStartAt is set, and less urgent tasks wait as well.
 // Long-running tasks never wait: every second without one counts, and they are few.
-func (s *Shard) affords(spec *job.Step, j *jobState, orders int, now time.Time) bool {
-	bytes := orders * (len(j.record.Spec.Text) + startBytes)
+func (s *Shard) takeStartBudget(spec *job.Step, j *jobState, orders int, now time.Time) bool {
+	bytes := orders * (len(j.record.Spec.Text) + startOverheadBytes)
 	if s.opts.Starts.Take(bytes, now) || spec.Lasting {
 		return true
 	}
-	s.startAt = s.opts.Starts.Ready(now)
+	s.nextStartAt = s.opts.Starts.ReadyAt(now)
 	return false
 }
 
@@ -187,7 +187,7 @@
 					continue
 				}
 				idle = true
-				if !j.ready(k, st) || (unobserved && !j.fresh) {
+				if !j.isReady(k, st) || (unobserved && !j.fresh) {
 					continue
 				}
 				list = append(list, group{
@@ -202,11 +202,11 @@
 		}
 	}
 	for i := range list {
-		list[i].outlook = s.outlookOf(list[i], now)
+		list[i].valueClass = s.remainingValue(list[i], now)
 	}
-	newestFirst := s.watchLosses(list, now)
+	newestFirst := s.detectMisses(list, now)
 	for i := range list {
-		list[i].newest = newestFirst
+		list[i].newestFirst = newestFirst
 	}
 	sort.Slice(list, func(a, b int) bool {
 		return list[a].less(list[b])
@@ -229,17 +229,17 @@
 	if best := s.best(newCandidate(id, spec, t), now); best != nil {
 		return best
 	}
-	return s.chooseInNeed(id, spec, t, now)
+	return s.chooseForStuck(id, spec, t, now)
 }
 
 // chooseForStuck returns the best worker, closed or not, for a long-running task that is stuck,
 // and nil for any other task.
-func (s *Shard) chooseInNeed(id job.TaskID, spec *job.Step, t *taskState, now time.Time) *workerState {
+func (s *Shard) chooseForStuck(id job.TaskID, spec *job.Step, t *taskState, now time.Time) *workerState {
 	if !spec.Lasting || !t.isStuck(now) {
 		return nil
 	}
 	c := newCandidate(id, spec, t)
-	c.inNeed = true
+	c.allowClosed = true
 	return s.best(c, now)
 }
 
@@ -248,7 +248,7 @@
 	var best *workerState
 	bestWeight := 0.0
 	for _, w := range s.usable {
-		if s.refuses(w, c, now) != takes {
+		if s.checkEligibility(w, c, now) != eligible {
 			continue
 		}
 		weight := s.weigh(w, c.spec, c.task)
@@ -263,20 +263,20 @@
 // weigh returns the weight of a worker for a task; lower is better.
 func (s *Shard) weigh(w *workerState, spec *job.Step, t *taskState) float64 {
 	weight := 0.0
-	for _, avoided := range t.avoid {
+	for _, avoided := range t.failedWorkers {
 		if avoided.Same(w.incarnation()) {
 			weight += weightFailedHere
 		}
 	}
-	if w.blamed > blameLimit {
-		weight += weightBlamed * float64(w.blamed)
+	if w.recentFailures > excessFailureLimit {
+		weight += weightFailures * float64(w.recentFailures)
 	}
 	if spec.DataRack != "" && spec.DataRack != w.reg.Rack {
-		weight += weightFar
+		weight += weightRemoteData
 	}
-	weight += weighSuspects(w, t)
+	weight += suspectWeight(w, t)
 	if spec.Filler || spec.TailTarget > 0 {
-		weight += weightDisturbs * float64(s.disturbed(w, spec.Filler))
+		weight += weightInterference * float64(s.countInterfering(w, spec.Filler))
 	}
 	if w.reg.Capacity.MilliCPU > 0 {
 		// Prefer fuller workers, so that others become empty and their instances can be moved.
@@ -288,7 +288,7 @@
 // countInterfering returns how many runs on a worker would interfere with a new task, which is a
 // filler or a serving task. Serving tasks interfere with both kinds, fillers only with serving
 // tasks.
-func (s *Shard) disturbed(w *workerState, filler bool) int {
+func (s *Shard) countInterfering(w *workerState, filler bool) int {
 	count := 0
 	for id := range w.runs {
 		j := s.jobs[id.Job]
@@ -315,29 +315,29 @@
 		Task:       id,
 		Run:        number,
 		Text:       j.record.Spec.Text,
-		Until:      w.deadline(now, s.opts.Lease),
+		Until:      w.leaseDeadline(now, s.opts.Lease),
 		Fence:      s.fenceAt(w.reg.ID),
 		Checkpoint: t.checkpoint,
-		Ticket:     s.ticket(id, w),
+		Ticket:     s.ticketFor(id, w),
 	}
 	r := &run{
-		id:     id,
-		number: number,
-		worker: w,
-		phase:  phaseStarting,
-		charge: spec.Charge(),
-		began:  now,
-		share:  fullPercent,
-		call:   s.nextCall(),
-		order:  order,
+		id:        id,
+		number:    number,
+		worker:    w,
+		phase:     phaseStarting,
+		charge:    spec.Charge(),
+		startedAt: now,
+		share:     fullPercent,
+		call:      s.nextCall(),
+		order:     order,
 	}
-	s.endWait(id, t, w, now)
-	s.attach(r, j, t)
+	s.endIsolationWait(id, t, w, now)
+	s.attachRun(r, j, t)
 	if r.suspect {
-		s.try(id, w.incarnation().String())
+		s.addPossibleCrash(id, w.incarnation().String())
 	}
-	s.reportRun("start ordered", id, number, w, "rack", w.reg.Rack, "closed", now.Before(w.closedUntil),
-		"free_cpu", w.free().MilliCPU, "look_age_ms", now.Sub(w.heard).Milliseconds())
+	s.logRun("start ordered", id, number, w, "rack", w.reg.Rack, "closed", now.Before(w.closedUntil),
+		"free_cpu", w.free().MilliCPU, "look_age_ms", now.Sub(w.clockReadAt).Milliseconds())
 	s.orders.Starts = append(s.orders.Starts, Start{
 		Call:   r.call,
 		Worker: w.ref(),
--- a/shard/priority.go
+++ b/shard/priority.go
@@ -23,14 +23,14 @@
 	if lasting != o.job.record.Spec.Steps[o.step].Lasting {
 		return lasting
 	}
-	if g.outlook != o.outlook {
-		return g.outlook < o.outlook
+	if g.valueClass != o.valueClass {
+		return g.valueClass < o.valueClass
 	}
-	if g.job.begun != o.job.begun {
-		return g.job.begun
+	if g.job.started != o.job.started {
+		return g.job.started
 	}
 	if !g.job.deadline.Equal(o.job.deadline) {
-		if g.newest && !g.job.begun && g.outlook == outlookFull {
+		if g.newestFirst && !g.job.started && g.valueClass == valueFull {
 			return g.job.deadline.After(o.job.deadline)
 		}
 		return g.job.deadline.Before(o.job.deadline)
@@ -46,39 +46,39 @@
 
 // detectMisses records the time when a job that has not started can no longer end in time, and
 // reports whether the latest such time is within newestFirstPeriod.
-func (s *Shard) watchLosses(list []group, now time.Time) bool {
+func (s *Shard) detectMisses(list []group, now time.Time) bool {
 	for _, g := range list {
 		switch {
-		case g.job.begun || g.job.record.Spec.Repeats > 0:
-		case g.outlook == outlookFull:
-			g.job.hopeful = true
-		case g.job.hopeful:
-			g.job.hopeful = false
-			s.lossAt = now
+		case g.job.started || g.job.record.Spec.Repeats > 0:
+		case g.valueClass == valueFull:
+			g.job.canBeOnTime = true
+		case g.job.canBeOnTime:
+			g.job.canBeOnTime = false
+			s.missedDeadlineAt = now
 		}
 	}
-	return !s.lossAt.IsZero() && now.Sub(s.lossAt) < lossMemory
+	return !s.missedDeadlineAt.IsZero() && now.Sub(s.missedDeadlineAt) < newestFirstPeriod
 }
 
 // remainingValue returns what a step's job can still earn if the step starts now. Repeated and
 // long-running jobs have no deadline and always keep their full value.
-func (s *Shard) outlookOf(g group, now time.Time) outlook {
-	if g.job.record.Spec.Repeats > 0 || g.job.lasts() {
-		return outlookFull
+func (s *Shard) remainingValue(g group, now time.Time) valueClass {
+	if g.job.record.Spec.Repeats > 0 || g.job.hasLongRunningStep() {
+		return valueFull
 	}
-	acceptedAt := g.job.record.accepted()
-	if now.Sub(acceptedAt) > lateFactor*g.job.deadline.Sub(acceptedAt) {
-		return outlookNone
+	acceptedAt := g.job.record.acceptedAt()
+	if now.Sub(acceptedAt) > valueExpiryFactor*g.job.deadline.Sub(acceptedAt) {
+		return valueNone
 	}
-	if now.Add(s.remaining(g)).After(g.job.deadline) {
-		return outlookLate
+	if now.Add(s.remainingTime(g)).After(g.job.deadline) {
+		return valuePartial
 	}
-	return outlookFull
+	return valueFull
 }
 
 // remainingTime returns the expected time from the start of a step to the end of its job: that
 // of the longest chain of dependent steps.
-func (s *Shard) remaining(g group) time.Duration {
+func (s *Shard) remainingTime(g group) time.Duration {
 	steps := g.job.record.Spec.Steps
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
@@ -95,7 +95,7 @@
 				continue
 			}
 		}
-		ends[i] += s.expect(g.job, &steps[i])
+		ends[i] += s.expectedRunTime(g.job, &steps[i])
 		longest = max(longest, ends[i])
 	}
 	return longest
@@ -103,9 +103,9 @@
 
 // expectedRunTime returns how long a task of a step is expected to run: the mean of the caller's
 // estimate, which may be far off, and of the measured run times of similar tasks.
-func (s *Shard) expect(j *jobState, spec *job.Step) time.Duration {
-	m := s.learned[measureKey(j, spec)]
-	if m == nil || m.count < expectSamples {
+func (s *Shard) expectedRunTime(j *jobState, spec *job.Step) time.Duration {
+	m := s.runTimes[runTimeKey(j, spec)]
+	if m == nil || m.count < minRunTimeSamples {
 		return spec.Estimate
 	}
 	return (spec.Estimate + m.mean) / 2
@@ -113,7 +113,7 @@
 
 // runTimeKey returns the key under which run times of a step's tasks are measured: its image, or
 // the job's route where it has none.
-func measureKey(j *jobState, spec *job.Step) string {
+func runTimeKey(j *jobState, spec *job.Step) string {
 	if spec.Image != "" {
 		return spec.Image
 	}
@@ -122,27 +122,27 @@
 
 // recordRunTime adds the duration of a successful run to the moving mean of its image or route.
 // Runs that this owner did not start are ignored: it does not know when they began.
-func (s *Shard) learn(j *jobState, id job.TaskID, r *run, now time.Time) {
+func (s *Shard) recordRunTime(j *jobState, id job.TaskID, r *run, now time.Time) {
 	if r == nil || r.order.Run == 0 {
 		return
 	}
-	key := measureKey(j, &j.record.Spec.Steps[id.Step])
-	m := s.learned[key]
+	key := runTimeKey(j, &j.record.Spec.Steps[id.Step])
+	m := s.runTimes[key]
 	if m == nil {
-		m = &measure{}
-		s.learned[key] = m
+		m = &runTimeStats{}
+		s.runTimes[key] = m
 	}
 	m.count++
 	weight := max(0.1, 1/float64(m.count))
-	m.mean += time.Duration(weight * float64(now.Sub(r.began)-m.mean))
+	m.mean += time.Duration(weight * float64(now.Sub(r.startedAt)-m.mean))
 }
 
 // speculate starts copies of stragglers, where the step allows it.
 func (s *Shard) speculate(now time.Time) {
-	if now.Before(s.speculateAt) {
+	if now.Before(s.nextSpeculationAt) {
 		return
 	}
-	s.speculateAt = now.Add(speculatePause)
+	s.nextSpeculationAt = now.Add(speculateInterval)
 	for _, w := range s.workers {
 		for id, r := range w.runs {
 			j := s.jobs[id.Job]
@@ -150,12 +150,12 @@
 				continue
 			}
 			spec := &j.record.Spec.Steps[id.Step]
-			if !spec.Speculative || !s.overdue(j, spec, r, now) {
+			if !spec.Speculative || !s.isStraggler(j, spec, r, now) {
 				continue
 			}
 			t := j.task(id)
 			// A copy of a task that crashes its workers would crash a second worker.
-			if t == nil || len(t.runs) != 1 || t.crashed.Suspect() || !s.withinQuota(j, spec, 1) {
+			if t == nil || len(t.runs) != 1 || t.crashes.Suspect() || !s.withinQuota(j, spec, 1) {
 				continue
 			}
 			if other := s.choose(id, spec, t, now); other != nil {
@@ -167,17 +167,17 @@
 
 // isStraggler reports whether a run takes much longer than both its estimate and the measured
 // mean.
-func (s *Shard) overdue(j *jobState, spec *job.Step, r *run, now time.Time) bool {
-	m := s.learned[measureKey(j, spec)]
-	if m == nil || m.count < speculateSamples {
+func (s *Shard) isStraggler(j *jobState, spec *job.Step, r *run, now time.Time) bool {
+	m := s.runTimes[runTimeKey(j, spec)]
+	if m == nil || m.count < minSpeculateSamples {
 		return false
 	}
-	return now.Sub(r.began) > time.Duration(speculateAfter*float64(max(m.mean, spec.Estimate)))
+	return now.Sub(r.startedAt) > time.Duration(stragglerFactor*float64(max(m.mean, spec.Estimate)))
 }
 
 // fitsNowhere reports whether a need is at least as large as one of those in known, for which no
 // worker has room.
-func hopeless(known []job.Room, need job.Room) bool {
+func fitsNowhere(known []job.Room, need job.Room) bool {
 	for _, smaller := range known {
 		if need.Fits(smaller) {
 			return true
--- a/shard/quota.go
+++ b/shard/quota.go
@@ -55,7 +55,7 @@
 	for name, u := range s.usages {
 		held := u.used
 		if q, bounded := s.quotaOf(name); bounded {
-			held = held.Add(s.hidden(u, q))
+			held = held.Add(s.unseenUsage(u, q))
 		}
 		list = append(list, Usage{
 			Organisation: name,
@@ -112,10 +112,10 @@
 
 // refreshUnseen determines the workers that may have unseen runs of previous owners, and resets
 // the waiting usage of all organisations before a placement.
-func (s *Shard) lookForUnseen(now time.Time) {
+func (s *Shard) refreshUnseen(now time.Time) {
 	s.unseen = unseen{}
 	for _, w := range s.workers {
-		if w.unsized == 0 && (w.known || !now.Before(w.blindUntil) || (w.mayRun != nil && len(w.mayRun) == 0)) {
+		if w.unsized == 0 && (w.contacted || !now.Before(w.unobservedUntil) || (w.unobservedTasks != nil && len(w.unobservedTasks) == 0)) {
 			continue
 		}
 		s.unseen.any = true
@@ -130,7 +130,7 @@
 // unseenUsage returns the most that unseen runs of previous owners may use of an organisation's
 // limit: what these owners were allowed, less what was found, and at most the capacity of the
 // workers that may have unseen runs.
-func (s *Shard) hidden(u *usage, q Quota) job.Room {
+func (s *Shard) unseenUsage(u *usage, q Quota) job.Room {
 	if !s.unseen.any {
 		return job.Room{}
 	}
@@ -150,8 +150,8 @@
 		return true
 	}
 	u := s.usageOf(j.record.Organisation)
-	held := u.used.Add(s.hidden(u, q))
-	asked := times(spec.Need, count)
+	held := u.used.Add(s.unseenUsage(u, q))
+	asked := scale(spec.Need, count)
 	if quota.ShareOf(held.Add(asked), q.Limit) <= q.Share {
 		return true
 	}
@@ -171,8 +171,8 @@
 	}
 	for i := range record.Spec.Steps {
 		step := &record.Spec.Steps[i]
-		if step.Gang && quota.ShareOf(times(step.Need, step.Count), q.Limit) > quota.Whole {
-			s.opts.Report("gang exceeds its organisation's limit", "job", record.ID, "organisation", record.Organisation,
+		if step.Gang && quota.ShareOf(scale(step.Need, step.Count), q.Limit) > quota.Whole {
+			s.opts.LogEvent("gang exceeds its organisation's limit", "job", record.ID, "organisation", record.Organisation,
 				"step", i, "tasks", step.Count, "limit_cpu", q.Limit.MilliCPU)
 			return true
 		}
@@ -183,5 +183,5 @@
 // waitForQuota records that count tasks of a step wait for the quota of their organisation.
 func (s *Shard) waitForQuota(j *jobState, spec *job.Step, count int) {
 	u := s.usageOf(j.record.Organisation)
-	u.waiting = u.waiting.Add(times(spec.Need, count))
+	u.waiting = u.waiting.Add(scale(spec.Need, count))
 }
--- a/shard/quota_test.go
+++ b/shard/quota_test.go
@@ -29,7 +29,7 @@
 	limit job.Room
 
 	// hideInherited keeps a new owner from learning what runs of previous owners may use.
-	forgetful bool
+	hideInherited bool
 }
 
 // newQuota returns a share of one half of a limit of 2*quotaTasks tasks.
@@ -59,7 +59,7 @@
 			Share: w.quota.share,
 			Limit: w.quota.limit,
 		}
-		if epoch > 1 && !w.quota.forgetful {
+		if epoch > 1 && !w.quota.hideInherited {
 			q.Inherited = w.quota.share.Of(w.quota.limit)
 		}
 		return q, true
@@ -68,7 +68,7 @@
 
 // checkQuota records a violation if the start of a task raised the usage of the organisation
 // above its quota.
-func (w *world) judgeQuota(id job.TaskID) {
+func (w *world) checkQuota(id job.TaskID) {
 	if w.quota == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	if most := w.quota.share.Of(w.quota.limit); running.MilliCPU > most.MilliCPU {
-		w.fault("start of %s raises the usage of its organisation to %+v, above its quota of %+v", id, running, most)
+		w.addViolation("start of %s raises the usage of its organisation to %+v, above its quota of %+v", id, running, most)
 	}
 }
 
@@ -103,24 +103,24 @@
 	prove.Scenario(t, prove.Quota, "runs-of-owners-before", func(on bool) string {
 		w := newWorld(3)
 		w.quota = newQuota()
-		w.quota.forgetful = !on
+		w.quota.hideInherited = !on
 		w.run(200 * time.Millisecond)
 		long := step(quotaTasks)
 		long.Estimate = 3 * time.Second
 		w.submit("a", long)
 		w.run(500 * time.Millisecond)
-		for _, f := range holderOf(w, "a") {
-			f.cut = true
+		for _, f := range reachableWorkersOf(w, "a") {
+			f.partitioned = true
 		}
 		w.takeOver()
 		w.run(200 * time.Millisecond)
 		w.submit("b", step(quotaTasks))
 		w.run(time.Second)
-		return strings.Join(w.faults, "; ")
+		return strings.Join(w.violations, "; ")
 	})
 }
 
-func TestTaskAboveTheWholeQuotaRunsAlone(t *testing.T) {
+func TestTaskAboveWholeQuotaRunsOneAtATime(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.quota = newQuota()
@@ -138,7 +138,7 @@
 	is.Equal(w.shown["a"], job.Completed)
 }
 
-func TestQuotaThatIsLoweredEndsNothingAndStartsNothing(t *testing.T) {
+func TestLoweredQuotaKeepsRunsAndStartsNone(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.quota = newQuota()
@@ -164,16 +164,16 @@
 // submits several times its quota because the service has capacity for them. Such jobs waited
 // for the quota until they were worth nothing, and they counted as backlog ahead of the jobs of
 // other organisations.
-func TestWorkThatWaitsForItsQuotaIsTurnedAway(t *testing.T) {
+func TestJobsThatWaitForQuotaAreRefused(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(20)
 	w.quota = newQuota()
 	w.takeOver()
 	w.run(6 * time.Second)
-	w.core.SetMost(20)
+	w.core.SetMaxInstances(20)
 	const jobs = 60
 	for i := range jobs {
-		w.ask(fmt.Sprintf("job-%02d", i), 0, step(4))
+		w.submitWithAge(fmt.Sprintf("job-%02d", i), 0, step(4))
 		w.run(tick)
 	}
 	w.run(300 * time.Millisecond)
@@ -188,7 +188,7 @@
 	other := w.record("other", step(4))
 	other.Organisation = "south"
 	taken := false
-	w.core.Submit(other, w.now, func(answer shard.Answer) { taken = answer.Taken })
+	w.core.Submit(other, w.now, func(answer shard.SubmitResult) { taken = answer.Accepted })
 	w.run(300 * time.Millisecond)
 	is.True(taken)
 	w.check(t)
@@ -197,7 +197,7 @@
 // TestGangAboveOrganisationLimitIsRefused guards against accepting a gang that is larger than
 // the whole limit of its organisation. Its tasks start only together, so that the gang waited
 // forever.
-func TestGangAboveTheWholeLimitIsTurnedAway(t *testing.T) {
+func TestGangAboveOrganisationLimitIsRefused(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
 	w.quota = newQuota()
@@ -205,11 +205,11 @@
 	w.run(200 * time.Millisecond)
 	gang := step(2*quotaTasks + 1)
 	gang.Gang = true
-	w.handIn("large", gang)
+	w.submitToOwner("large", gang)
 	fitting := step(2 * quotaTasks)
 	fitting.Gang = true
-	w.handIn("fitting", fitting)
-	w.handIn("wide", step(2*quotaTasks+1)) // Not a gang: its tasks may start as others end.
+	w.submitToOwner("fitting", fitting)
+	w.submitToOwner("wide", step(2*quotaTasks+1)) // Not a gang: its tasks may start as others end.
 	w.run(8 * time.Second)
 	is.Equal(w.taken["large"], false)
 	_, turnedAway := w.refused["large"]
--- a/shard/record.go
+++ b/shard/record.go
@@ -47,7 +47,7 @@
 
 	// PossibleCrashes maps OCCURRENCE.STEP.INDEX to the workers that may have crashed while they
 	// ran the task: how the run there ended was not known when the row was written.
-	Trials map[string][]string `cbor:"7,keyasint,omitempty"`
+	PossibleCrashes map[string][]string `cbor:"7,keyasint,omitempty"`
 
 	// EndedMillis is when a final state was reached, in Unix milliseconds.
 	EndedMillis int64 `cbor:"5,keyasint,omitempty"`
@@ -106,12 +106,12 @@
 		Route: j.record.Route,
 	}
 	if j.state.Final() {
-		p.EndedMillis = j.ended.UnixMilli()
+		p.EndedMillis = j.endedAt.UnixMilli()
 		return p
 	}
 	for k, o := range j.occurrences {
 		for s := range o.steps {
-			if bits := o.steps[s].doneBits(); bits != nil {
+			if bits := o.steps[s].doneBitmap(); bits != nil {
 				if p.Done == nil {
 					p.Done = make(map[string][]byte)
 				}
@@ -130,20 +130,20 @@
 // addTask adds the crashes and failed runs of a task that has not succeeded. Failed runs of
 // long-running tasks are not stored.
 func (p *Progress) addTask(key string, t *taskState, lasting bool) {
-	p.Crashed = withMarks(p.Crashed, key, t.crashed)
-	p.Trials = withMarks(p.Trials, key, t.trials)
-	if len(t.failed) == 0 || lasting {
+	p.Crashed = withMarks(p.Crashed, key, t.crashes)
+	p.PossibleCrashes = withMarks(p.PossibleCrashes, key, t.possibleCrashes)
+	if len(t.failedRuns) == 0 || lasting {
 		return
 	}
 	if p.Failed == nil {
 		p.Failed = make(map[string][]int64)
 	}
-	p.Failed[key] = t.failed
+	p.Failed[key] = t.failedRuns
 }
 
 // withMarks adds the marks of a task under key to a map of a row, and returns the map. A nil map
 // is created if there are marks.
-func withMarks(list map[string][]string, key string, marks suspect.Marks) map[string][]string {
+func withMarks(list map[string][]string, key string, marks suspect.Crashes) map[string][]string {
 	if len(marks) == 0 {
 		return list
 	}
@@ -172,32 +172,32 @@
 		}
 	}
 	for key, runs := range p.Failed {
-		t, err := j.taskAt(key)
+		t, err := j.taskByKey(key)
 		if err != nil {
 			return err
 		}
-		t.failed = runs
+		t.failedRuns = runs
 	}
 	for key, workers := range p.Crashed {
-		t, err := j.taskAt(key)
+		t, err := j.taskByKey(key)
 		if err != nil {
 			return err
 		}
-		t.crashed = workers
+		t.crashes = workers
 	}
-	for key, workers := range p.Trials {
-		t, err := j.taskAt(key)
+	for key, workers := range p.PossibleCrashes {
+		t, err := j.taskByKey(key)
 		if err != nil {
 			return err
 		}
-		t.trials = workers
+		t.possibleCrashes = workers
 	}
 	return nil
 }
 
 // taskByKey returns the task for a key of a row of progress. It builds missing occurrences up to
 // the one in the key.
-func (j *jobState) taskAt(key string) (*taskState, error) {
+func (j *jobState) taskByKey(key string) (*taskState, error) {
 	k, s, i, err := parseKey(key)
 	if err != nil {
 		return nil, err
@@ -215,15 +215,15 @@
 	if occurrence < 0 || occurrence >= j.record.Spec.Occurrences() || step < 0 || step >= len(j.record.Spec.Steps) {
 		return nil
 	}
-	for j.begunOccurrences <= occurrence {
-		j.beginNext()
+	for j.dueOccurrences <= occurrence {
+		j.addOccurrence()
 	}
 	return j.occurrences[occurrence].steps[step]
 }
 
 // doneBitmap returns the bitmap of the tasks that have succeeded, nil if there are none.
-func (s *stepState) doneBits() []byte {
-	if s.left == len(s.tasks) {
+func (s *stepState) doneBitmap() []byte {
+	if s.remaining == len(s.tasks) {
 		return nil
 	}
 	bits := make([]byte, (len(s.tasks)+7)/8)
@@ -253,6 +253,6 @@
 	return strconv.Itoa(occurrence) + "." + strconv.Itoa(step)
 }
 
-func (r Record) accepted() time.Time {
+func (r Record) acceptedAt() time.Time {
 	return time.UnixMilli(r.AcceptedMillis)
 }
--- a/shard/record_test.go
+++ b/shard/record_test.go
@@ -29,7 +29,7 @@
 	is.True(read.Spec.Due(2).Equal(time.UnixMilli(1_700_000_012_812)))
 }
 
-func TestProgressSurvivesItsRow(t *testing.T) {
+func TestProgressRoundTrip(t *testing.T) {
 	is := is.New(t)
 	progress := shard.Progress{
 		State: job.Running,
@@ -42,7 +42,7 @@
 		Crashed: map[string][]string{
 			"0.1.2": {"w1", "w2"},
 		},
-		Trials: map[string][]string{
+		PossibleCrashes: map[string][]string{
 			"0.1.2": {"w3"},
 		},
 	}
@@ -53,7 +53,7 @@
 
 // TestProgressEncodingIsStable checks the encoded bytes of progress rows. During an upgrade
 // entries of the old and the new version read each other's rows.
-func TestFormOfProgressRows(t *testing.T) {
+func TestProgressEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	before := shard.Progress{
 		State: job.Running,
@@ -68,7 +68,7 @@
 	now.Crashed = map[string][]string{
 		"0.1.2": {"w1"},
 	}
-	now.Trials = map[string][]string{
+	now.PossibleCrashes = map[string][]string{
 		"0.1.2": {"w3"},
 	}
 	const bytesNow = "a5016772756e6e696e6702617104a165302e312e3282010506a165302e312e328162773107a165302e312e3281627733"
@@ -80,7 +80,7 @@
 	is.Equal(read, before)
 }
 
-func TestBrokenRowsAreRefused(t *testing.T) {
+func TestDecodeRecordRejectsInvalidRows(t *testing.T) {
 	is := is.New(t)
 	_, err := shard.DecodeRecord([]byte("not a row"))
 	is.True(err != nil)
--- a/shard/refuse.go
+++ b/shard/refuse.go
@@ -20,30 +20,30 @@
 const (
 	// maxRefusalsPerBatch bounds the refusals of one batch, so that it always has room for
 	// accepted jobs and ended tasks.
-	refusalsMost = 24
+	maxRefusalsPerBatch = 24
 
 	// entriesPerRefusal is the number of entries of a transaction that one refusal takes: its
 	// row, and the condition that no record is stored.
-	refusalEntries = 2
+	entriesPerRefusal = 2
 
 	// refusalRetention is how long a refusal is kept. An earlier attempt without an answer may
 	// still be carried out up to 12 s later by the store, and up to 2.5 s later by an entry.
-	refusedFor = 20 * time.Second
+	refusalRetention = 20 * time.Second
 
 	// maxRefusals bounds the refusals that are kept. Beyond it no job is refused, and callers get
 	// an answer that leaves open whether the job runs. Over refusalRetention it allows about 200
 	// refusals a second, the rate of transactions of one partition of the store.
-	refusedMost = 4096
+	maxRefusals = 4096
 
 	// maxAnswerAge is the maximum age of a refusal at which its caller is told of it once its row
 	// is stored. If a slow store took longer to write it, the job may have been submitted again
 	// in between.
-	promptly = tellTime / 2
+	maxAnswerAge = earlierAttemptWindow / 2
 
 	// earlierAttemptWindow is how long after a refusal an entry may have read a job for this to
 	// count as an attempt from before the refusal. It is half of the shortest time after which
 	// the caller retries. The clocks of entries may differ by a quarter of it.
-	tellTime = backlog.ComeBackLeast / 2
+	earlierAttemptWindow = backlog.MinRetryAfter / 2
 )
 
 // Refusal is the row of a job that was refused.
@@ -62,15 +62,15 @@
 	Refusal
 
 	// pending is the refusal that is answered once the batch is written.
-	waiting *refusing
+	pending *refusing
 }
 
 // refusing is a job whose refusal is decided but whose row is not stored yet.
 type refusing struct {
-	id       string
-	first    int64
-	comeBack time.Duration
-	done     []func(Answer)
+	id          string
+	firstMillis int64
+	retryAfter  time.Duration
+	done        []func(SubmitResult)
 }
 
 // DecodeRefusal decodes a row written by Refusal.Encode.
@@ -90,52 +90,52 @@
 // Covers reports whether an entry read a job so early that its caller cannot have been told of the
 // refusal and retried. The record then belongs to an attempt from before the refusal.
 func (r Refusal) Covers(record Record) bool {
-	return record.accepted().Before(time.UnixMilli(r.AtMillis).Add(tellTime))
+	return record.acceptedAt().Before(time.UnixMilli(r.AtMillis).Add(earlierAttemptWindow))
 }
 
 // isAnswerable reports whether a caller may still be told of the refusal now.
-func (r Refusal) isPrompt(now time.Time) bool {
-	return now.Sub(time.UnixMilli(r.AtMillis)) <= promptly
+func (r Refusal) isAnswerable(now time.Time) bool {
+	return now.Sub(time.UnixMilli(r.AtMillis)) <= maxAnswerAge
 }
 
 // refuse refuses a job. done is called once the row of the refusal is stored or given up.
-func (s *Shard) refuse(record Record, verdict backlog.Verdict, now time.Time, done func(Answer)) {
-	work, starts := s.survey.within(verdict.Wait)
-	s.opts.Report("job turned away", "job", record.ID, "route", record.Route, "instances", s.most,
+func (s *Shard) refuse(record Record, verdict backlog.Verdict, now time.Time, done func(SubmitResult)) {
+	work, starts := s.survey.runnableWithin(verdict.Wait)
+	s.opts.LogEvent("job turned away", "job", record.ID, "route", record.Route, "instances", s.maxInstances,
 		"work_ms", work.Milliseconds(), "starts", starts,
-		"organisation", record.Organisation, "quota_ms", s.survey.demands[record.Organisation].quota.Milliseconds(), "wait_ms", verdict.Wait.Milliseconds(),
-		"survey_age_ms", now.Sub(s.survey.at).Milliseconds(), "come_back_ms", verdict.ComeBack.Milliseconds())
+		"organisation", record.Organisation, "quota_ms", s.survey.demands[record.Organisation].quotaTime.Milliseconds(), "wait_ms", verdict.Wait.Milliseconds(),
+		"survey_age_ms", now.Sub(s.survey.computedAt).Milliseconds(), "come_back_ms", verdict.RetryAfter.Milliseconds())
 	r := &refusing{
-		id:       record.ID,
-		first:    s.firstRead(record),
-		comeBack: verdict.ComeBack,
-		done:     []func(Answer){done},
+		id:          record.ID,
+		firstMillis: s.firstReadMillis(record),
+		retryAfter:  verdict.RetryAfter,
+		done:        []func(SubmitResult){done},
 	}
-	s.deciding[r.id] = r
+	s.undecidedRefusals[r.id] = r
 	s.refusing = append(s.refusing, r)
 }
 
 // answerIfRefused handles a submitted job that was refused before or has a pending refusal. It
 // returns false if the job still has to be decided on.
-func (s *Shard) answerRefused(record Record, now time.Time, done func(Answer)) bool {
-	if r, found := s.deciding[record.ID]; found {
+func (s *Shard) answerIfRefused(record Record, now time.Time, done func(SubmitResult)) bool {
+	if r, found := s.undecidedRefusals[record.ID]; found {
 		r.done = append(r.done, done)
 		return true
 	}
-	refusal, found := s.refused[record.ID]
+	refusal, found := s.storedRefusals[record.ID]
 	if !found || !refusal.Covers(record) {
 		return false
 	}
-	done(Answer{
-		Refused:  refusal.isPrompt(now),
-		ComeBack: backlog.ComeBackLeast,
+	done(SubmitResult{
+		Refused:    refusal.isAnswerable(now),
+		RetryAfter: backlog.MinRetryAfter,
 	})
 	return true
 }
 
 // firstReadMillis returns the earliest known time when an entry read a job, in Unix milliseconds.
-func (s *Shard) firstRead(record Record) int64 {
-	refusal, found := s.refused[record.ID]
+func (s *Shard) firstReadMillis(record Record) int64 {
+	refusal, found := s.storedRefusals[record.ID]
 	if !found || refusal.FirstMillis == 0 {
 		return record.AcceptedMillis
 	}
@@ -144,50 +144,50 @@
 
 // RestoreRefusal adds a stored refusal, such as one of a previous owner.
 func (s *Shard) RestoreRefusal(id string, r Refusal) {
-	s.refused[id] = r
-	s.refusals = append(s.refusals, id)
+	s.storedRefusals[id] = r
+	s.refusalOrder = append(s.refusalOrder, id)
 }
 
 // addRefusals moves pending refusals into a batch, and the IDs of jobs whose stored refusals have
 // expired. It returns the number of transaction entries that they take.
-func (s *Shard) takeRefusals(b *Batch, entries int, now time.Time) int {
+func (s *Shard) addRefusals(b *Batch, entries int, now time.Time) int {
 	taken := 0
-	for len(s.refusals) > 0 && taken < entries {
-		id := s.refusals[0]
-		refusal, found := s.refused[id]
-		if found && now.Sub(time.UnixMilli(refusal.AtMillis)) < refusedFor {
+	for len(s.refusalOrder) > 0 && taken < entries {
+		id := s.refusalOrder[0]
+		refusal, found := s.storedRefusals[id]
+		if found && now.Sub(time.UnixMilli(refusal.AtMillis)) < refusalRetention {
 			break
 		}
-		s.refusals = s.refusals[1:]
+		s.refusalOrder = s.refusalOrder[1:]
 		if found {
-			delete(s.refused, id)
-			b.Lifted = append(b.Lifted, id)
+			delete(s.storedRefusals, id)
+			b.ExpiredRefusals = append(b.ExpiredRefusals, id)
 			taken++
 		}
 	}
-	count := min(len(s.refusing), refusalsMost, (entries-taken)/refusalEntries)
+	count := min(len(s.refusing), maxRefusalsPerBatch, (entries-taken)/entriesPerRefusal)
 	for _, r := range s.refusing[:count] {
 		b.Refused = append(b.Refused, Refused{
 			ID: r.id,
 			Refusal: Refusal{
 				AtMillis:    now.UnixMilli(),
-				FirstMillis: r.first,
+				FirstMillis: r.firstMillis,
 			},
-			waiting: r,
+			pending: r,
 		})
 	}
 	s.refusing = s.refusing[count:]
-	return taken + refusalEntries*count
+	return taken + entriesPerRefusal*count
 }
 
 // confirmRefusals records that the refusals of a batch are stored, and answers those who wait for
 // them.
-func (s *Shard) refusalsWritten(b Batch, now time.Time) {
+func (s *Shard) confirmRefusals(b Batch, now time.Time) {
 	for _, r := range b.Refused {
 		s.RestoreRefusal(r.ID, r.Refusal)
-		s.answer(r.waiting, Answer{
-			Refused:  r.isPrompt(now),
-			ComeBack: r.waiting.comeBack,
+		s.answerPending(r.pending, SubmitResult{
+			Refused:    r.isAnswerable(now),
+			RetryAfter: r.pending.retryAfter,
 		})
 	}
 }
@@ -195,34 +195,34 @@
 // undoRefusals reverts the refusals of a batch that was not written. A job whose record is stored
 // is accepted instead.
 func (s *Shard) undoRefusals(b Batch, existing map[string]Existing, now time.Time) {
-	for _, id := range b.Lifted {
+	for _, id := range b.ExpiredRefusals {
 		s.RestoreRefusal(id, Refusal{})
 	}
 	for _, r := range b.Refused {
 		e, found := existing[r.ID]
 		if !found {
-			s.refusing = append(s.refusing, r.waiting)
+			s.refusing = append(s.refusing, r.pending)
 			continue
 		}
 		s.Accept(e.Record, e.Version, false, now)
-		s.answer(r.waiting, Answer{
-			Taken: true,
+		s.answerPending(r.pending, SubmitResult{
+			Accepted: true,
 		})
 	}
 }
 
 // DropPendingRefusals answers the pending refusals that no batch holds, because the store takes no
 // writes. The jobs were not accepted, but the answer is no refusal, as no row is stored.
-func (s *Shard) DropRefusals() {
+func (s *Shard) DropPendingRefusals() {
 	for _, r := range s.refusing {
-		s.answer(r, Answer{})
+		s.answerPending(r, SubmitResult{})
 	}
 	s.refusing = nil
 }
 
 // answerPending sends the outcome to every call that waits for a pending refusal.
-func (s *Shard) answer(r *refusing, a Answer) {
-	delete(s.deciding, r.id)
+func (s *Shard) answerPending(r *refusing, a SubmitResult) {
+	delete(s.undecidedRefusals, r.id)
 	for _, done := range r.done {
 		done(a)
 	}
--- a/shard/refuse_test.go
+++ b/shard/refuse_test.go
@@ -14,18 +14,18 @@
 )
 
 // retryAfter is the minimum time after which a refused caller submits its job again.
-const comeBack = time.Second
+const retryAfter = time.Second
 
 // submitWithAge submits a job to the owner, as read by an entry the given time ago, and
 // records the answer to the caller.
-func (w *world) ask(id string, age time.Duration, steps ...job.Step) {
+func (w *world) submitWithAge(id string, age time.Duration, steps ...job.Step) {
 	record := w.record(id, steps...)
 	record.AcceptedMillis = w.now.Add(-age).UnixMilli()
-	w.core.Submit(record, w.now, func(answer shard.Answer) {
-		w.taken[id] = answer.Taken
+	w.core.Submit(record, w.now, func(answer shard.SubmitResult) {
+		w.taken[id] = answer.Accepted
 		w.turned[id] = answer.Refused
 		if answer.Refused {
-			w.heard[id] = w.now
+			w.refusalHeardAt[id] = w.now
 		}
 	})
 }
@@ -33,7 +33,7 @@
 // applyLateWrite applies the write of an entry that read the job the given time ago. The write
 // has the conditions of a real one: the job is unknown, and no stored refusal covers this
 // attempt. It reports whether the record is stored.
-func (w *world) writeLate(id string, age time.Duration, steps ...job.Step) bool {
+func (w *world) applyLateWrite(id string, age time.Duration, steps ...job.Step) bool {
 	if _, stands := w.records[id]; stands {
 		return true
 	}
@@ -59,12 +59,12 @@
 
 // newOverloadedWorld returns a world whose only worker cannot run all submitted jobs before
 // their deadlines.
-func overloaded() *world {
+func newOverloadedWorld() *world {
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
-	w.core.SetMost(1)
+	w.core.SetMaxInstances(1)
 	for i := range 20 {
-		w.ask(fmt.Sprintf("before-%02d", i), 0, step(4))
+		w.submitWithAge(fmt.Sprintf("before-%02d", i), 0, step(4))
 		w.run(tick)
 	}
 	return w
@@ -72,9 +72,9 @@
 
 // TestJobThatWouldEndTooLateIsRefused submits more jobs than one worker can run in time. Jobs
 // that would end too late are refused and never run; every accepted job completes.
-func TestJobThatIsOfNoUseIsTurnedAwayAtOnce(t *testing.T) {
+func TestJobThatWouldEndTooLateIsRefused(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
+	w := newOverloadedWorld()
 	w.run(200 * time.Millisecond)
 	turned := 0
 	for i := range 20 {
@@ -97,12 +97,12 @@
 }
 
 // TestRefusedJobMayBeSubmittedAgain submits a refused job again once there is capacity.
-func TestRefusedJobMayComeBack(t *testing.T) {
+func TestRefusedJobMayBeSubmittedAgain(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
+	w := newOverloadedWorld()
 	w.run(8 * time.Second)
 	is.True(w.turned["before-19"])
-	w.ask("before-19", 0, step(4))
+	w.submitWithAge("before-19", 0, step(4))
 	w.turned["before-19"] = false
 	w.run(3 * time.Second)
 	is.Equal(w.shown["before-19"], job.Completed)
@@ -111,17 +111,17 @@
 
 // TestEarlierAttemptOfRefusedJobDoesNotRun covers the write of an entry that takes effect after
 // the owner has refused the job, both with the same owner and with the next one.
-func TestEarlierTryOfRefusedJobDoesNotRun(t *testing.T) {
+func TestEarlierAttemptOfRefusedJobDoesNotRun(t *testing.T) {
 	for name, takenOver := range map[string]bool{
 		"same owner": false,
 		"successor":  true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := overloaded()
+			w := newOverloadedWorld()
 			w.run(200 * time.Millisecond)
 			is.True(w.turned["before-19"])
-			is.True(!w.writeLate("before-19", 3*time.Second, step(4)))
+			is.True(!w.applyLateWrite("before-19", 3*time.Second, step(4)))
 			if takenOver {
 				w.takeOver()
 			}
@@ -136,12 +136,12 @@
 
 // TestAttemptJustBeforeRefusalDoesNotRun covers a caller whose connection broke and who turned
 // to another entry at once. The first entry read the job shortly before it was refused.
-func TestTryJustBeforeARefusalDoesNotRun(t *testing.T) {
+func TestAttemptJustBeforeRefusalDoesNotRun(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
+	w := newOverloadedWorld()
 	w.run(100 * time.Millisecond)
 	is.True(w.turned["before-19"])
-	is.True(!w.writeLate("before-19", 300*time.Millisecond, step(4)))
+	is.True(!w.applyLateWrite("before-19", 300*time.Millisecond, step(4)))
 	w.readIntake()
 	w.run(20 * time.Second)
 	w.check(t)
@@ -149,11 +149,11 @@
 
 // TestJobWrittenByAnEntryIsNotRefused covers an entry that gets no answer from the owner and
 // writes the record itself, while the owner is about to refuse the job.
-func TestJobThatAnEntryHasWrittenIsNotTurnedAway(t *testing.T) {
+func TestJobWrittenByAnEntryIsNotRefused(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
-	w.ask("slow", 0, step(4))
-	is.True(w.writeLate("slow", 0, step(4))) // No refusal is stored yet.
+	w := newOverloadedWorld()
+	w.submitWithAge("slow", 0, step(4))
+	is.True(w.applyLateWrite("slow", 0, step(4))) // No refusal is stored yet.
 	w.run(200 * time.Millisecond)
 	is.True(w.taken["slow"])
 	is.True(!w.turned["slow"])
@@ -164,12 +164,12 @@
 
 // TestEarlierSubmissionOfRefusedJobDoesNotRun covers a call to the owner that arrives after the
 // job was refused in a call of another entry.
-func TestEarlierHandInOfRefusedJobDoesNotRun(t *testing.T) {
+func TestEarlierSubmissionOfRefusedJobDoesNotRun(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
+	w := newOverloadedWorld()
 	w.run(8 * time.Second) // The worker has capacity again.
 	is.True(w.turned["before-19"])
-	w.ask("before-19", 9*time.Second, step(4))
+	w.submitWithAge("before-19", 9*time.Second, step(4))
 	w.run(3 * time.Second)
 	is.True(!w.taken["before-19"])
 	_, shown := w.shown["before-19"]
@@ -179,11 +179,11 @@
 
 // TestStoredJobIsNotRefused covers a job whose record was written by an entry and which its
 // caller submits again before the owner has read the record.
-func TestJobThatStandsIsNotTurnedAway(t *testing.T) {
+func TestStoredJobIsNotRefused(t *testing.T) {
 	is := is.New(t)
-	w := overloaded()
-	w.writeLate("again", 100*time.Millisecond, step(4))
-	w.ask("again", 0, step(4))
+	w := newOverloadedWorld()
+	w.applyLateWrite("again", 100*time.Millisecond, step(4))
+	w.submitWithAge("again", 0, step(4))
 	w.run(200 * time.Millisecond)
 	is.True(w.taken["again"])
 	is.True(!w.turned["again"])
@@ -201,25 +201,25 @@
 		w.run(200 * time.Millisecond)
 		stays := make(map[string]bool)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			w.core.SetMost(rapid.IntRange(0, 1).Draw(t, "most"))
+			w.core.SetMaxInstances(rapid.IntRange(0, 1).Draw(t, "most"))
 			id := fmt.Sprintf("j-%d", rapid.IntRange(0, 12).Draw(t, "job"))
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0, 1, 2:
-				if w.turned[id] && w.now.Sub(w.heard[id]) < comeBack {
+				if w.turned[id] && w.now.Sub(w.refusalHeardAt[id]) < retryAfter {
 					break
 				}
 				// A new attempt: the answer to the previous one no longer applies.
 				w.turned[id] = false
-				w.ask(id, 0, step(4))
+				w.submitWithAge(id, 0, step(4))
 			case 3:
 				// An earlier attempt that another entry read before the last answer.
 				if w.turned[id] {
-					w.writeLate(id, w.now.Sub(w.heard[id])+comeBack, step(4))
+					w.applyLateWrite(id, w.now.Sub(w.refusalHeardAt[id])+retryAfter, step(4))
 				}
 			case 4:
 				// Such an attempt whose call reaches the owner late.
 				if w.turned[id] {
-					w.ask(id, w.now.Sub(w.heard[id])+comeBack, step(4))
+					w.submitWithAge(id, w.now.Sub(w.refusalHeardAt[id])+retryAfter, step(4))
 				}
 			case 5:
 				w.takeOver()
@@ -230,11 +230,11 @@
 			case 8:
 				// An entry that got no answer from the owner writes the record itself and
 				// tells its caller. The attempt is new, or the owner is still deciding on it.
-				if w.turned[id] && w.now.Sub(w.heard[id]) < comeBack {
+				if w.turned[id] && w.now.Sub(w.refusalHeardAt[id]) < retryAfter {
 					break
 				}
 				w.turned[id] = false
-				if w.writeLate(id, 0, step(4)) {
+				if w.applyLateWrite(id, 0, step(4)) {
 					stays[id] = true
 				}
 			}
@@ -250,7 +250,7 @@
 		w.run(time.Minute)
 		for id := range stays {
 			if w.shown[id] != job.Completed {
-				w.fault("job %s was accepted but its state is %q", id, w.shown[id])
+				w.addViolation("job %s was accepted but its state is %q", id, w.shown[id])
 			}
 		}
 		w.check(t)
--- a/shard/released_test.go
+++ b/shard/released_test.go
@@ -14,29 +14,29 @@
 // maxOrderDelay is the maximum time from the request for a load until the instance controller
 // sends an order based on it. maxEffectDelay is the maximum time until that order takes effect.
 const (
-	orderedWithin = time.Second
-	orderTakes    = 900 * time.Millisecond
+	maxOrderDelay  = time.Second
+	maxEffectDelay = 900 * time.Millisecond
 )
 
 // TestStuckTaskDoesNotStartOnReleasedWorker lets the instance controller send an order as late as
 // it may after its request for a load, while long-running tasks could run only on the worker
 // that the load has reported as closed and empty.
-func TestTaskInNeedStartsOnNoWorkerThatIsGivenAway(t *testing.T) {
+func TestStuckTaskDoesNotStartOnReleasedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.submit("a", lasting(2, 1))
 	w.run(2 * time.Second)
-	is.Equal(w.atWorkOf("a"), 2)
-	running := holderOf(w, "a")[0]
+	is.Equal(w.availableRuns("a"), 2)
+	running := reachableWorkersOf(w, "a")[0]
 	var last *fakeWorker
 	for _, f := range w.workers {
 		if f != running {
 			last = f
 		}
 	}
-	w.crashUnder(running)
-	w.emptyAndTake(last, 20*time.Second)
+	w.crashWorker(running)
+	w.closeAndTerminate(last, 20*time.Second)
 	w.check(t)
 }
 
@@ -46,25 +46,25 @@
 // order would end more tasks of a step at once than may be unavailable. An owner that takes the
 // shard after the announcement reads it, or knows that it can't. If it takes the shard earlier,
 // the instance controller notices the new owner and sends no order.
-func TestSuccessorStartsNothingOnAWorkerThatIsGivenAway(t *testing.T) {
+func TestNextOwnerStartsNothingOnReleasedWorker(t *testing.T) {
 	for name, succeed := range map[string]func(*world){
 		"died":     func(w *world) { w.takeOver() },
 		"released": func(w *world) { w.release(10 * tick) },
 		"can't read": func(w *world) {
-			w.givingUnread = true
+			w.releasedUnread = true
 			w.takeOver()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for at := time.Duration(0); at < 600*time.Millisecond; at += 2 * tick {
-				w, free := closedAndEmpty(is)
-				w.giving = []string{free.reg.ID}
+				w, free := newReleasedWorker(is)
+				w.released = []string{free.reg.ID}
 				w.run(at)
 				w.submit("a", lasting(2, 1))
 				succeed(w)
-				w.run(orderedWithin + orderTakes - at)
-				w.take(free)
+				w.run(maxOrderDelay + maxEffectDelay - at)
+				w.terminateWorker(free)
 				w.check(t)
 			}
 		})
@@ -73,15 +73,15 @@
 
 // TestNextOwnerUsesReleasedWorkerAgain covers the end of the wait for a released worker: the
 // instance controller tells which workers are closed, or all its orders must have taken effect.
-func TestSuccessorUsesWorkersThatWereNotGivenAway(t *testing.T) {
+func TestNextOwnerUsesReleasedWorkerAgain(t *testing.T) {
 	for name, tell := range map[string]func(*world){
 		"told":     func(w *world) { w.core.SetClosed(nil, w.now) },
 		"not told": func(w *world) { w.run(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, free := closedAndEmpty(is)
-			w.giving = []string{free.reg.ID}
+			w, free := newReleasedWorker(is)
+			w.released = []string{free.reg.ID}
 			w.submit("a", lasting(2, 1))
 			w.takeOver()
 			w.run(200 * time.Millisecond)
@@ -96,7 +96,7 @@
 
 // newReleasedWorker returns a world and its only worker that can run tasks, which is closed and
 // which the pool takes for empty.
-func closedAndEmpty(is *is.I) (*world, *fakeWorker) {
+func newReleasedWorker(is *is.I) (*world, *fakeWorker) {
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	free := w.workers["w1"]
@@ -106,17 +106,17 @@
 		w.core.SetClosed([]string{free.reg.ID}, w.now)
 		w.run(100 * time.Millisecond)
 	}
-	is.True(givenAway(w, free))
+	is.True(isReleased(w, free))
 	return w, free
 }
 
 // closeAndTerminate closes a worker for a while. For each load by which the pool takes the worker
 // for empty, it sends an order to the instance that takes effect as late as possible.
-func (w *world) emptyAndTake(f *fakeWorker, d time.Duration) {
+func (w *world) closeAndTerminate(f *fakeWorker, d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end) && !f.down; {
 		w.core.SetClosed([]string{f.reg.ID}, w.now)
-		if givenAway(w, f) {
-			w.after(orderedWithin+orderTakes, func() { w.take(f) })
+		if isReleased(w, f) {
+			w.after(maxOrderDelay+maxEffectDelay, func() { w.terminateWorker(f) })
 		}
 		w.run(200 * time.Millisecond)
 	}
@@ -124,7 +124,7 @@
 
 // isReleased reports whether the load of the owner lets the pool conclude that nothing runs on a
 // worker and that nothing will be started there.
-func givenAway(w *world, f *fakeWorker) bool {
+func isReleased(w *world, f *fakeWorker) bool {
 	wave := &pool.Wave{
 		Wave: outside.Wave{
 			Number:    1,
--- a/shard/report.go
+++ b/shard/report.go
@@ -10,35 +10,35 @@
 
 // logRun logs an event of a run at a worker. For a long-running task it also logs how many other
 // tasks of its step are unavailable and how many may be.
-func (s *Shard) reportRun(event string, id job.TaskID, number int64, w *workerState, fields ...any) {
+func (s *Shard) logRun(event string, id job.TaskID, number int64, w *workerState, fields ...any) {
 	line := append([]any{"task", id.String(), "run", number, "worker", w.reg.ID}, fields...)
 	if spec, found := s.stepOf(id); found && spec.Lasting {
 		line = append(line, LastingField, true)
-		if away, known := s.othersAway(id); known {
+		if away, known := s.othersUnavailable(id); known {
 			line = append(line, "away", away, "may_miss", spec.MayMiss)
 		}
 	}
-	s.opts.Report(event, line...)
+	s.opts.LogEvent(event, line...)
 }
 
 // logBudgetExceeded logs that an order, or a lease that was not renewed, ends a long-running task
 // although its step can't miss another task. cause tells an order from a lapsed lease.
-func (s *Shard) reportExceeded(cause string, id job.TaskID, number int64, w *workerState) {
+func (s *Shard) logBudgetExceeded(cause string, id job.TaskID, number int64, w *workerState) {
 	spec, found := s.stepOf(id)
 	if !found || !spec.Lasting || !spec.HasMayMiss || s.jobs[id.Job].state.Final() {
 		return
 	}
-	if away, known := s.othersAway(id); known && !spares(spec, away) {
-		s.reportRun("availability budget exceeded", id, number, w, "cause", cause)
+	if away, known := s.othersUnavailable(id); known && !allowsDisruption(spec, away) {
+		s.logRun("availability budget exceeded", id, number, w, "cause", cause)
 	}
 }
 
 // othersUnavailable returns how many other tasks of a task's step are unavailable. It returns false
 // if the task is not known.
-func (s *Shard) othersAway(id job.TaskID) (int, bool) {
+func (s *Shard) othersUnavailable(id job.TaskID) (int, bool) {
 	j := s.jobs[id.Job]
 	if j == nil || j.task(id) == nil {
 		return 0, false
 	}
-	return s.away(j.occurrences[id.Occurrence].steps[id.Step], id.Index), true
+	return s.unavailable(j.occurrences[id.Occurrence].steps[id.Step], id.Index), true
 }
--- a/shard/restart.go
+++ b/shard/restart.go
@@ -10,33 +10,33 @@
 
 // maxOrderDelay is how long after it was sent an unanswered order may still be carried out. The
 // platform documents delays of seconds; up to 12 s were observed.
-const lateMost = 13 * time.Second
+const maxOrderDelay = 13 * time.Second
 
 // endedIncarnation is an incarnation of a worker that has ended, and when this owner learned of it.
-type ended struct {
+type endedIncarnation struct {
 	incarnation outside.Incarnation
 	at          time.Time
 }
 
 // hasEnded reports whether an incarnation of a worker is known to have ended.
-func (s *Shard) isGone(incarnation outside.Incarnation) bool {
-	return slices.ContainsFunc(s.gone[incarnation.Worker], func(e ended) bool { return e.incarnation.Same(incarnation) })
+func (s *Shard) hasEnded(incarnation outside.Incarnation) bool {
+	return slices.ContainsFunc(s.endedIncarnations[incarnation.Worker], func(e endedIncarnation) bool { return e.incarnation.Same(incarnation) })
 }
 
 // purgeEnded drops ended incarnations that are older than endedRetention.
-func (s *Shard) forgetGone(now time.Time) {
-	for worker, list := range s.gone {
-		list = slices.DeleteFunc(list, func(e ended) bool { return now.Sub(e.at) > goneFor })
-		s.gone[worker] = list
+func (s *Shard) purgeEnded(now time.Time) {
+	for worker, list := range s.endedIncarnations {
+		list = slices.DeleteFunc(list, func(e endedIncarnation) bool { return now.Sub(e.at) > endedRetention })
+		s.endedIncarnations[worker] = list
 		if len(list) == 0 {
-			delete(s.gone, worker)
+			delete(s.endedIncarnations, worker)
 		}
 	}
 }
 
 // recordEnded records that an incarnation of a worker has ended.
-func (s *Shard) noteGone(incarnation outside.Incarnation, now time.Time) {
-	s.gone[incarnation.Worker] = append(s.gone[incarnation.Worker], ended{
+func (s *Shard) recordEnded(incarnation outside.Incarnation, now time.Time) {
+	s.endedIncarnations[incarnation.Worker] = append(s.endedIncarnations[incarnation.Worker], endedIncarnation{
 		incarnation: incarnation,
 		at:          now,
 	})
@@ -44,7 +44,7 @@
 
 // isOtherIncarnation reports whether the start time that a worker reports belongs to another
 // incarnation than the one that has answered so far. It returns false if either time is unknown.
-func (w *workerState) isOther(born time.Time) bool {
+func (w *workerState) isOtherIncarnation(born time.Time) bool {
 	return !w.born.IsZero() && !born.IsZero() && !born.Equal(w.born)
 }
 
@@ -52,29 +52,29 @@
 // one. The new incarnation numbers its ends from 1 and has its own clock, fence and leases. Ends
 // must not be compared with the numbers of the old incarnation: they would be acknowledged without
 // being applied, and each of their tasks would run again (one did five times in a row).
-func (s *Shard) restarted(before *workerState, status outside.Glance, sent, now time.Time) *workerState {
+func (s *Shard) replaceIncarnation(before *workerState, status outside.WorkerStatus, sent, now time.Time) *workerState {
 	crashed := before.loss().Crashed()
 	lost := s.lostTasks(before, now)
-	w := s.newWorker(before.reg.ID, now)
+	w := s.addWorker(before.reg.ID, now)
 	w.born = status.Born
 	w.reg = before.reg
 	w.listed = before.listed
-	w.unlisted = before.unlisted
+	w.unlistedAt = before.unlistedAt
 	w.recorded = before.recorded
-	w.regained = before.regained
-	w.named = before.named
+	w.regainedAt = before.regainedAt
+	w.inHandover = before.inHandover
 	w.closedUntil = before.closedUntil
-	s.opts.Report("worker started again", "worker", w.incarnation().String(), "before", before.incarnation().String(),
+	s.opts.LogEvent("worker started again", "worker", w.incarnation().String(), "before", before.incarnation().String(),
 		"runs", len(before.runs), "taken_in", before.processed, "ends", len(status.Ends))
-	s.forgetTicketsOf(w.reg.ID)
-	for id := range s.carryOver(before, w, status.Runs, sent, now) {
+	s.forgetWorkerTickets(w.reg.ID)
+	for id := range s.transferRuns(before, w, status.Runs, sent, now) {
 		delete(lost, id)
 	}
-	s.loseRuns(before, now, "worker started again")
-	s.acquitAt(before)
+	s.dropRuns(before, now, "worker started again")
+	s.clearStalePossibleCrashes(before)
 	if crashed {
 		for id := range lost {
-			s.mark(id, before.incarnation().String(), now)
+			s.recordCrash(id, before.incarnation().String(), now)
 		}
 	}
 	return w
@@ -82,17 +82,17 @@
 
 // handleFirstAnswer handles the first answer of an incarnation. mayHaveOldRuns says that the answer
 // lists runs that may have been started by orders to the previous incarnation.
-func (s *Shard) meet(w *workerState, mayHaveOldRuns bool, now time.Time) {
-	w.known = true
-	s.stopUnanswered(w)
+func (s *Shard) handleFirstAnswer(w *workerState, mayHaveOldRuns bool, now time.Time) {
+	w.contacted = true
+	s.stopUnansweredStarts(w)
 	lease := s.opts.Lease // An earlier owner may have renewed it until just now.
 	if mayHaveOldRuns || len(w.runs) > 0 {
 		// A run that an order to the previous incarnation started here has a deadline computed from
 		// that incarnation's clock.
-		lease = s.opts.LeaseMost
+		lease = s.opts.LeaseLimit
 	}
-	if leaseEnd := now.Add(drifted(lease) + leaseSlack); leaseEnd.After(w.until) {
-		w.until = leaseEnd
+	if leaseEnd := now.Add(withClockDrift(lease) + leaseSlack); leaseEnd.After(w.leaseEnd) {
+		w.leaseEnd = leaseEnd
 	}
 }
 
@@ -100,7 +100,7 @@
 // incarnation lists, runs that began there after the poll was sent and that only the next poll can
 // show, and runs that an outstanding order may still start there. Runs of the last kind are
 // stopped. It returns the tasks of the other two kinds.
-func (s *Shard) carryOver(before, w *workerState, listed []outside.RunningTask, sent, now time.Time) map[job.TaskID]struct{} {
+func (s *Shard) transferRuns(before, w *workerState, listed []outside.RunningTask, sent, now time.Time) map[job.TaskID]struct{} {
 	numbers := make(map[job.TaskID]int64, len(listed))
 	for _, running := range listed {
 		numbers[running.Task] = running.Run
@@ -108,28 +108,28 @@
 	transferred := make(map[job.TaskID]struct{})
 	for id, r := range before.runs {
 		number, found := numbers[id]
-		found = (found && number == r.number) || r.isLaterThan(sent)
+		found = (found && number == r.number) || r.isAnsweredAfter(sent)
 		if !found && r.call == 0 && !r.unanswered {
 			continue
 		}
 		if found {
 			transferred[id] = struct{}{}
 		}
-		s.drop(r, now)
-		s.carry(r, w, found)
+		s.dropRun(r, now)
+		s.transferRun(r, w, found)
 	}
 	return transferred
 }
 
 // isAnsweredAfter reports whether the order for a run was answered after a poll was sent, so that
 // the answer to the poll need not list the run.
-func (r *run) isLaterThan(sent time.Time) bool {
-	return r.phase == phaseRunning && r.call == 0 && !r.unanswered && r.settled.After(sent)
+func (r *run) isAnsweredAfter(sent time.Time) bool {
+	return r.phase == phaseRunning && r.call == 0 && !r.unanswered && r.answeredAt.After(sent)
 }
 
 // transferRun moves one run to the next incarnation of its worker. The run is stopped there if it
 // was already being stopped or if the incarnation does not have it.
-func (s *Shard) carry(r *run, w *workerState, listed bool) {
+func (s *Shard) transferRun(r *run, w *workerState, listed bool) {
 	unwanted := r.phase == phaseStopping || r.phase == phaseStopped
 	next := *r
 	next.worker = w
@@ -138,15 +138,15 @@
 	next.unanswered = r.unanswered || r.call != 0
 	next.call = 0
 	next.tries = 0
-	next.stopAt = time.Time{}
+	next.nextStopAt = time.Time{}
 	next.suspect = false
-	next.alone = false
+	next.isolated = false
 	j := s.knownJob(r.id.Job)
 	var t *taskState
 	if j != nil {
-		t = s.taskOf(j, r.id)
+		t = s.findOrBuildTask(j, r.id)
 	}
-	s.attach(&next, j, t)
+	s.attachRun(&next, j, t)
 	if !listed || unwanted {
 		s.stop(&next, "worker started again")
 	}
@@ -162,19 +162,19 @@
 // effect at its worker, because the order got no answer or is under way. An incarnation that was
 // told to stop the run never starts it, but the next incarnation under the same ID does not know of
 // that stop.
-func (s *Shard) rememberStart(r *run, now time.Time) {
+func (s *Shard) recordUnansweredStart(r *run, now time.Time) {
 	worker := r.worker.reg.ID
 	if s.unanswered[worker] == nil {
 		s.unanswered[worker] = make(map[job.TaskID]unansweredStart)
 	}
 	s.unanswered[worker][r.id] = unansweredStart{
 		run:   *r,
-		until: now.Add(lateMost),
+		until: now.Add(maxOrderDelay),
 	}
 }
 
 // purgeUnansweredStarts drops the starts that can no longer take effect.
-func (s *Shard) forgetStarts(now time.Time) {
+func (s *Shard) purgeUnansweredStarts(now time.Time) {
 	for worker, starts := range s.unanswered {
 		for id, start := range starts {
 			if now.After(start.until) {
@@ -189,10 +189,10 @@
 
 // stopUnansweredStarts stops, at an incarnation that answers for the first time, the runs that
 // orders to earlier incarnations may still start there while their tasks run elsewhere.
-func (s *Shard) stopUnanswered(w *workerState) {
+func (s *Shard) stopUnansweredStarts(w *workerState) {
 	for id, start := range s.unanswered[w.reg.ID] {
 		if _, taken := w.runs[id]; !taken {
-			s.carry(&start.run, w, false)
+			s.transferRun(&start.run, w, false)
 		}
 	}
 }
--- a/shard/restart_test.go
+++ b/shard/restart_test.go
@@ -17,7 +17,7 @@
 // worker. The worker numbers its ends from 1 again. An owner that kept the last end number of
 // the previous incarnation took all ends up to that number for known and acknowledged them, so
 // that their tasks ran again until the new numbers exceeded the old one.
-func TestEndsOfAWorkerThatStartedAgainCount(t *testing.T) {
+func TestEndsOfRestartedWorkerCount(t *testing.T) {
 	for name, away := range map[string]time.Duration{
 		"back before a look has failed":      0,
 		"back at once":                       200 * time.Millisecond,
@@ -32,7 +32,7 @@
 			w.run(6 * time.Second)
 			is.Equal(w.shown["before"], job.Completed)
 			for _, f := range w.workers {
-				w.startAgain(f, away)
+				w.restartWorker(f, away)
 			}
 			w.run(away + time.Second)
 			for i := range 4 {
@@ -51,7 +51,7 @@
 // TestTaskThatCrashesOneWorkerRepeatedlyFails covers a task that crashes the only worker, which
 // restarts under the same id each time. It guards against counting crashes by worker id, and
 // against not recognising the crash of a worker that restarts under its id.
-func TestTaskThatCrashesOneWorkerAgainAndAgainIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesOneWorkerRepeatedlyFails(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"at once":       tick,
 		"after a while": 700 * time.Millisecond,
@@ -60,7 +60,7 @@
 			is := is.New(t)
 			w := newWorld(1)
 			w.sameID = true
-			w.backAfter = time.Second
+			w.restartDelay = time.Second
 			w.culprits[job.TaskID{
 				Job: "bad",
 			}] = after
@@ -68,7 +68,7 @@
 			w.submit("bad", step(1))
 			w.submit("good", step(1))
 			w.run(40 * time.Second)
-			t.Logf("crashes=%d", w.mostCrashes("bad"))
+			t.Logf("crashes=%d", w.maxCrashes("bad"))
 			w.check(t)
 			is.Equal(w.shown["bad"], job.Failed)
 			is.Equal(w.shown["good"], job.Completed)
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	w := newWorld(1)
 	w.sameID = true
-	w.backAfter = 2 * time.Second
+	w.restartDelay = 2 * time.Second
 	w.culprits[job.TaskID{
 		Job: "bad",
 	}] = tick
@@ -99,19 +99,19 @@
 // TestLatePollReachesNextIncarnation covers unanswered polls that reach the worker after its
 // restart, while it lists ends that no owner has read. An acknowledgement in such a poll would
 // make the worker forget these ends.
-func TestLookIsCarriedOutLateByTheNextIncarnation(t *testing.T) {
+func TestLatePollReachesNextIncarnation(t *testing.T) {
 	for late := 800 * time.Millisecond; late <= 2500*time.Millisecond; late += tick {
 		w := newWorld(1)
 		w.run(200 * time.Millisecond)
 		w.submit("before", step(4), step(4, 0), step(4, 1))
 		w.run(6 * time.Second)
-		w.loseLooks = late
+		w.pollDelay = late
 		w.run(tick * 2)
-		w.startAgain(w.workers["w0"], 200*time.Millisecond)
-		w.loseLooks = 0
+		w.restartWorker(w.workers["w0"], 200*time.Millisecond)
+		w.pollDelay = 0
 		w.submit("after", step(4))
 		w.run(12 * time.Second)
-		for _, fault := range w.faults {
+		for _, fault := range w.violations {
 			t.Errorf("delay %v: %s", late, fault)
 		}
 		if w.shown["after"] != job.Completed {
@@ -122,7 +122,7 @@
 
 // TestAcknowledgementIsSentUntilAnswered checks that polls stop acknowledging once the worker
 // has answered an acknowledgement. Each unanswered one may reach the next incarnation.
-func TestAcknowledgementIsSentUntilItIsHeard(t *testing.T) {
+func TestAcknowledgementIsSentUntilAnswered(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
@@ -130,10 +130,10 @@
 	w.run(4 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
 	is.Equal(len(w.workers["w0"].ends), 0)
-	heard := w.acknowledging
+	heard := w.ackingPolls
 	is.True(heard > 0)
 	w.run(4 * time.Second)
-	is.Equal(w.acknowledging, heard) // The worker has no ends left to forget.
+	is.Equal(w.ackingPolls, heard) // The worker has no ends left to forget.
 }
 
 // TestLateStartOfAnEarlierIncarnationIsStopped covers an unanswered start that takes effect
@@ -146,18 +146,18 @@
 	long := step(1)
 	long.Estimate = 20 * time.Second
 	long.DataRack = "r1-1"
-	w.lose = 5 * time.Second
+	w.startDelay = 5 * time.Second
 	w.submit("a", long)
 	w.run(time.Second)
-	w.lose = 0
+	w.startDelay = 0
 	w.addWorker("w1", "r1-1")
 	w.list()
 	w.run(2500 * time.Millisecond) // The start was retried and stopped, and the task started on w1.
 	is.Equal(len(w.workers["w1"].runs), 1)
-	w.startAgain(w.workers["w0"], 200*time.Millisecond)
+	w.restartWorker(w.workers["w0"], 200*time.Millisecond)
 	w.run(30 * time.Second)
 	w.check(t)
-	is.Equal(starts(w), 1)
+	is.Equal(totalStarts(w), 1)
 	is.Equal(w.shown["a"], job.Completed)
 }
 
@@ -166,12 +166,12 @@
 // guards against recording the end by worker id alone: the worker was then refused for 60 s,
 // and a new owner ended the new incarnation together with the runs that the previous owner had
 // started there.
-func TestWorkerThatIsBackFromMaintenanceIsUsed(t *testing.T) {
+func TestWorkerIsUsedAgainAfterMaintenance(t *testing.T) {
 	for name, succeed := range map[string]func(w *world){
 		"the same owner": func(*world) {},
 		"a new owner":    (*world).takeOver,
 		"a new owner that is told before it sees registrations": func(w *world) {
-			w.takenFirst = []string{outside.Incarnation{
+			w.takenBeforeListing = []string{outside.Incarnation{
 				Worker: "w0",
 				Born:   w.start,
 			}.String()}
@@ -184,10 +184,10 @@
 			f := w.workers["w0"]
 			w.run(200 * time.Millisecond)
 			taken := f.reg.Incarnation().String()
-			w.startAgain(f, 2*time.Second)
+			w.restartWorker(f, 2*time.Second)
 			tell := func(d time.Duration) {
 				for end := w.now.Add(d); w.now.Before(end); {
-					w.core.End([]string{taken}, w.now)
+					w.core.RemoveTaken([]string{taken}, w.now)
 					w.run(100 * time.Millisecond)
 				}
 			}
@@ -201,7 +201,7 @@
 			succeed(w)
 			tell(7 * time.Second)
 			w.check(t)
-			is.Equal(starts(w), 2)
+			is.Equal(totalStarts(w), 2)
 			is.Equal(w.shown["a"], job.Completed)
 		})
 	}
@@ -213,15 +213,15 @@
 // incarnation, tasks run twice.
 func TestIncarnationsUnderFaults(t *testing.T) {
 	prove.Guard(t, prove.AtMostOnce, "answers-name-their-incarnation", func(on bool) func(*rapid.T) {
-		return func(t *rapid.T) { restarts(t, on) }
+		return func(t *rapid.T) { simulateRestarts(t, on) }
 	})
 }
 
 // simulateRestarts does one simulation run with restarts of workers. If told is false, workers
 // do not name their incarnation.
-func restarts(t *rapid.T, told bool) {
+func simulateRestarts(t *rapid.T, told bool) {
 	w := newWorld(4)
-	w.untold = !told
+	w.hideIncarnations = !told
 	w.run(200 * time.Millisecond)
 	names := []string{"w0", "w1", "w2", "w3"}
 	count := rapid.IntRange(5, 25).Draw(t, "rounds")
@@ -229,25 +229,25 @@
 		f := w.workers[rapid.SampledFrom(names).Draw(t, "worker")]
 		switch rapid.IntRange(0, 17).Draw(t, "what") {
 		case 0:
-			f.cut = true
+			f.partitioned = true
 		case 1:
-			f.cut = false
+			f.partitioned = false
 		case 2:
 			w.takeOver()
 		case 3:
 			w.release(time.Duration(rapid.IntRange(0, 50).Draw(t, "free for")) * tick)
 		case 4:
-			w.lose = time.Duration(rapid.IntRange(0, 12).Draw(t, "late")) * time.Second
+			w.startDelay = time.Duration(rapid.IntRange(0, 12).Draw(t, "late")) * time.Second
 		case 5:
-			w.loseLooks = time.Duration(rapid.IntRange(0, 1200).Draw(t, "late looks")) * tick
+			w.pollDelay = time.Duration(rapid.IntRange(0, 1200).Draw(t, "late looks")) * tick
 		case 6:
-			w.loseLooks = 0
+			w.pollDelay = 0
 		case 7:
 			w.storeDown = rapid.Bool().Draw(t, "down")
 		case 8:
 			w.core.SetClosed([]string{f.reg.ID}, w.now)
 		case 9, 10, 11, 12:
-			w.startAgain(f, time.Duration(rapid.IntRange(0, 600).Draw(t, "away"))*tick)
+			w.restartWorker(f, time.Duration(rapid.IntRange(0, 600).Draw(t, "away"))*tick)
 		default:
 			s := step(rapid.IntRange(1, 5).Draw(t, "tasks"))
 			s.Estimate = time.Duration(rapid.IntRange(10, 300).Draw(t, "takes")) * tick
@@ -255,17 +255,17 @@
 		}
 		w.run(time.Duration(rapid.IntRange(1, 150).Draw(t, "wait")) * tick)
 	}
-	w.endRestarts(t)
+	w.endSimulation(t)
 }
 
 // endSimulation ends all faults and checks that every job ends.
-func (w *world) endRestarts(t *rapid.T) {
-	w.lose = 0
-	w.loseLooks = 0
+func (w *world) endSimulation(t *rapid.T) {
+	w.startDelay = 0
+	w.pollDelay = 0
 	w.lateAnswers = 0
 	w.storeDown = false
 	for _, f := range w.workers {
-		f.cut = false
+		f.partitioned = false
 	}
 	w.run(40 * time.Second)
 	for id := range w.records {
@@ -289,7 +289,7 @@
 // to any poll passes for the answer to the last one.
 func lateAnswers(t *rapid.T, named bool) {
 	w := newWorld(4)
-	w.unnamed = !named
+	w.mismatchPolls = !named
 	w.run(200 * time.Millisecond)
 	names := []string{"w0", "w1", "w2", "w3"}
 	count := rapid.IntRange(5, 25).Draw(t, "rounds")
@@ -302,14 +302,14 @@
 		case 1, 2:
 			w.lateAnswers = time.Duration(rapid.IntRange(0, 150).Draw(t, "late answers")) * tick
 		case 3, 4:
-			w.startAgain(f, away)
+			w.restartWorker(f, away)
 		case 5, 6:
 			w.lateAnswers = time.Duration(rapid.IntRange(10, 150).Draw(t, "late answer")) * tick
 			w.run(2 * tick)
 			w.lateAnswers = time.Duration(rapid.IntRange(0, 20).Draw(t, "late answers")) * tick
 			if !f.down {
-				w.core.End([]string{f.reg.Incarnation().String()}, w.now)
-				w.startAgain(f, away)
+				w.core.RemoveTaken([]string{f.reg.Incarnation().String()}, w.now)
+				w.restartWorker(f, away)
 			}
 		default:
 			s := step(rapid.IntRange(1, 5).Draw(t, "tasks"))
@@ -318,25 +318,25 @@
 		}
 		w.run(time.Duration(rapid.IntRange(1, 100).Draw(t, "wait")) * tick)
 	}
-	w.endRestarts(t)
+	w.endSimulation(t)
 }
 
 // TestRetriedStartOfEndedRunFreesItsResources covers a start that is retried and whose run ends
 // before the retry is answered. After the restart of the worker the owner waited for an answer
 // that it had already received, so that the run was never stopped and kept its resources.
-func TestStartThatWasUnderWayAsItsRunEndedHoldsNoRoom(t *testing.T) {
+func TestRetriedStartOfEndedRunFreesItsResources(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
 	short := step(1)
 	short.Estimate = 300 * time.Millisecond
-	w.lose = 800 * time.Millisecond
+	w.startDelay = 800 * time.Millisecond
 	w.submit("a", short)
 	w.run(1300 * time.Millisecond)
-	w.lose = 0
+	w.startDelay = 0
 	is.Equal(w.shown["a"], job.Completed)
 	w.run(300 * time.Millisecond)
-	w.startAgain(w.workers["w0"], 200*time.Millisecond)
+	w.restartWorker(w.workers["w0"], 200*time.Millisecond)
 	w.run(2 * time.Second)
 	whole := step(1)
 	whole.Need.MilliCPU = 4000
@@ -351,7 +351,7 @@
 // arrives after the first answer of the next incarnation. An owner that took it for the answer
 // of a third incarnation gave up the current runs as lost, recorded crashes for them and started
 // their tasks a second time.
-func TestAnswerOfAnIncarnationThatEndedIsPassedOver(t *testing.T) {
+func TestAnswerOfEndedIncarnationIsIgnored(t *testing.T) {
 	for late := 100 * time.Millisecond; late <= 1500*time.Millisecond; late += 100 * time.Millisecond {
 		w := newWorld(1)
 		f := w.workers["w0"]
@@ -359,16 +359,16 @@
 		w.lateAnswers = late
 		w.run(3 * tick)
 		w.lateAnswers = 6 * tick
-		w.core.End([]string{f.reg.Incarnation().String()}, w.now)
-		w.startAgain(f, 50*time.Millisecond)
+		w.core.RemoveTaken([]string{f.reg.Incarnation().String()}, w.now)
+		w.restartWorker(f, 50*time.Millisecond)
 		long := step(2)
 		long.Estimate = 3 * time.Second
 		w.submit("a", long)
 		w.run(12 * time.Second)
-		for _, fault := range w.faults {
+		for _, fault := range w.violations {
 			t.Errorf("delay %v: %s", late, fault)
 		}
-		if got := starts(w); got != 2 {
+		if got := totalStarts(w); got != 2 {
 			t.Errorf("delay %v: %d starts, want 2", late, got)
 		}
 		if w.shown["a"] != job.Completed {
@@ -381,12 +381,12 @@
 // so that the stored handover lists it as idle, and which answers again with another incarnation
 // during an outage of the store. The owner must not forget with the previous incarnation that
 // the handover still lists the worker: the next owner does not look for runs on such a worker.
-func TestWorkerThatIsBackWhileNamedIsNotUsedYet(t *testing.T) {
+func TestRestartedWorkerInHandoverIsNotUsedYet(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	f := w.workers["w0"]
 	w.run(200 * time.Millisecond)
-	f.cut = true
+	f.partitioned = true
 	long := step(2)
 	long.Estimate = 8 * time.Second
 	w.submit("a", long)
@@ -395,10 +395,10 @@
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.run(100 * time.Millisecond)
-	f.cut = false
-	w.startAgain(f, 50*time.Millisecond)
+	f.partitioned = false
+	w.restartWorker(f, 50*time.Millisecond)
 	w.run(2 * time.Second)
-	is.Equal(starts(w), 0)
+	is.Equal(totalStarts(w), 0)
 	w.storeDown = false
 	w.addWorker("w1", "r1-1")
 	w.takeOver()
@@ -411,25 +411,25 @@
 // TestTakenIncarnationDoesNotReviveLaterOne repeats to an owner that an incarnation has ended
 // after the next incarnation has ended as well. If the repeated notice replaces the later one,
 // the stored registration of the later incarnation is taken for that of a new worker.
-func TestTakenIncarnationBringsNoOtherBack(t *testing.T) {
+func TestTakenIncarnationDoesNotReviveLaterOne(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	f := w.workers["w0"]
 	listed := 0
-	w.report = func(event string, _ ...any) {
+	w.logEvent = func(event string, _ ...any) {
 		if event == "worker listed" {
 			listed++
 		}
 	}
 	w.run(200 * time.Millisecond)
 	taken := []string{f.reg.Incarnation().String()}
-	w.core.End(taken, w.now)
-	w.startAgain(f, time.Second)
+	w.core.RemoveTaken(taken, w.now)
+	w.restartWorker(f, time.Second)
 	w.run(2 * time.Second)
-	w.core.End([]string{f.reg.Incarnation().String()}, w.now)
+	w.core.RemoveTaken([]string{f.reg.Incarnation().String()}, w.now)
 	listed = 0
 	for range 10 {
-		w.core.End(taken, w.now)
+		w.core.RemoveTaken(taken, w.now)
 		w.list()
 		w.run(100 * time.Millisecond)
 	}
@@ -438,23 +438,23 @@
 
 // TestStartInFlightAtEndOfIncarnationIsStopped covers a start that is in flight when the owner
 // records its worker as ended. The start reaches the next incarnation under the same id.
-func TestStartUnderWayAtTheEndOfAnIncarnationIsStopped(t *testing.T) {
+func TestStartInFlightAtEndOfIncarnationIsStopped(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	f := w.workers["w0"]
 	w.run(200 * time.Millisecond)
 	long := step(1)
 	long.Estimate = 20 * time.Second
-	w.lose = 3 * time.Second
+	w.startDelay = 3 * time.Second
 	w.submit("a", long)
 	w.run(100 * time.Millisecond)
-	w.lose = 0
-	w.core.End([]string{f.reg.Incarnation().String()}, w.now)
-	w.startAgain(f, 200*time.Millisecond)
+	w.startDelay = 0
+	w.core.RemoveTaken([]string{f.reg.Incarnation().String()}, w.now)
+	w.restartWorker(f, 200*time.Millisecond)
 	w.addWorker("w1", "r1-1")
 	w.list()
 	w.run(25 * time.Second)
 	w.check(t)
-	is.Equal(starts(w), 1)
+	is.Equal(totalStarts(w), 1)
 	is.Equal(w.shown["a"], job.Completed)
 }
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -20,7 +20,7 @@
 const (
 	// maxClockDrift is how much slower than this owner's clock a worker's steady clock may run. The
 	// platform promises 2%.
-	clockDrift = 0.025
+	maxClockDrift = 0.025
 
 	// leaseSlack is added to the computed end of a lease for the delay of an answer and the
 	// truncation to whole milliseconds.
@@ -28,10 +28,10 @@
 
 	// stopSlack is added to the stop timeout for the delay of the stop order. Until both have
 	// passed, a run that a new owner finds may be one that the previous owner has stopped.
-	foundSlack = 200 * time.Millisecond
+	stopSlack = 200 * time.Millisecond
 
 	// maxTimerInterval is the longest time between two checks of the shard's timers.
-	maxPause = 250 * time.Millisecond
+	maxTimerInterval = 250 * time.Millisecond
 
 	// runsPerEpoch is how many run numbers one owner has for one task. A later owner starts above
 	// them, so that it need not know every earlier run.
@@ -44,25 +44,25 @@
 	Lease time.Duration
 
 	// MaxLease is the longest lease that a worker grants, even if an order asks for more.
-	LeaseMost time.Duration
+	LeaseLimit time.Duration
 
 	// BusyPollWait and IdlePollWait are how long a poll may wait at a worker that has runs and at
 	// one that has none.
-	BusyWait time.Duration
-	IdleWait time.Duration
+	BusyPollWait time.Duration
+	IdlePollWait time.Duration
 
 	// StopTimeout is the longest time that a task takes to stop.
-	StopTask time.Duration
+	StopTimeout time.Duration
 
 	// JobRetention is how long an ended job is kept.
-	ShownFor time.Duration
+	JobRetention time.Duration
 
 	// RemoteFactor is how many times longer a task takes when it runs away from its data.
-	FarFactor float64
+	RemoteFactor float64
 
 	// UnobservedFor is how long after a takeover an unreachable worker may still run what the
 	// previous owner started there.
-	BlindFor time.Duration
+	UnobservedFor time.Duration
 
 	// Policy returns the newest policy of a route, and false if the route no longer exists.
 	Policy func(route string) (catalog.Policy, bool)
@@ -79,17 +79,17 @@
 	Starts *link.Budget
 
 	// RejectsOverload says that workers refuse tasks that do not fit.
-	Guarded bool
+	RejectsOverload bool
 
 	// Log writes one log line for each decision that affects a job.
-	Report func(event string, fields ...any)
+	LogEvent func(event string, fields ...any)
 
 	// CountRefusal counts, by reason, the seconds in which workers refuse a task that has waited
 	// for some time; nil counts nothing.
-	Refused func(reason string)
+	CountRefusal func(reason string)
 
 	// PublishState is called with the state of a job once callers may be told.
-	Show func(id string, state job.State)
+	PublishState func(id string, state job.State)
 }
 
 // Shard holds the jobs and workers of one service under one epoch.
@@ -100,12 +100,12 @@
 
 	// fenceRaises holds, by worker, how often its fence was raised. Entries are kept as long as the
 	// owner lives, because a worker that comes back may have seen the raised fence.
-	raised map[string]int64
+	fenceRaises map[string]int64
 
 	// takenAt is when this owner took over the shard; claimVersion is the version of that write. If
 	// a job was written later and this owner was told of it first, no earlier owner has seen it.
-	taken      time.Time
-	newVersion int64
+	takenAt      time.Time
+	claimVersion int64
 
 	jobs    map[string]*jobState
 	workers map[string]*workerState
@@ -117,42 +117,42 @@
 	repeating map[string]*jobState
 
 	// dueRuns holds the runs that need an order: to be stopped, or to be started once more.
-	due map[*run]struct{}
+	dueRuns map[*run]struct{}
 
 	// possibleCrashes holds, by worker incarnation, the tasks whose run there may have crashed it.
-	trials map[string]map[job.TaskID]struct{}
+	possibleCrashes map[string]map[job.TaskID]struct{}
 
 	// nextSpeculationAt is when the next search for stragglers is due.
-	speculateAt time.Time
+	nextSpeculationAt time.Time
 
 	// tickets holds, by the name of a step, which workers may run the step.
-	tickets map[string]*permission
+	tickets map[string]*stepTickets
 
 	// unknownJobs holds the jobs that this owner does not know and of which workers list runs or
 	// ends. lookup is the number of the lookup under way, 0 for none; its answer is awaited before
 	// lookupDeadline. nextLookupAt is when the next lookup may be ordered.
-	unknown     map[string]*unknownJob
-	lookup      int64
-	lookupUntil time.Time
-	lookupAt    time.Time
+	unknownJobs    map[string]*unknownJob
+	lookup         int64
+	lookupDeadline time.Time
+	nextLookupAt   time.Time
 
 	// submitted holds, in order of submission, the jobs whose record is in no batch yet.
 	submitted []*jobState
 
 	// dirty holds jobs whose row is behind; removedJobs holds IDs of jobs whose rows are to be
 	// deleted.
-	dirty   map[string]*jobState
-	removed []string
+	dirty       map[string]*jobState
+	removedJobs []string
 
 	// deferredCancels names jobs whose cancellation can't be decided yet. Either the job is not in
 	// memory, or its record or final state may be in the standby partition, which is not read yet.
 	// The value says whether a row asks for the cancellation.
-	withdrawn map[string]bool
+	deferredCancels map[string]bool
 
 	// lastBatch is the number of the last batch taken, writtenBatch that of the last batch written.
 	// An end may be acknowledged once its batch is written.
-	batch int64
-	done  int64
+	lastBatch    int64
+	writtenBatch int64
 
 	// pending counts the jobs of each route that have not started.
 	pending map[string]int
@@ -163,11 +163,11 @@
 	unseen unseen
 
 	// runTimes holds the measured run times by image, or by route for steps without an image.
-	learned map[string]*measure
+	runTimes map[string]*runTimeStats
 
 	// endedIncarnations holds, by worker, the incarnations that ended lately, so that an old
 	// registration or a late report of a removed instance does not bring one back.
-	gone map[string][]ended
+	endedIncarnations map[string][]endedIncarnation
 
 	// usable holds the workers that can run tasks, as of the beginning of Next.
 	usable []*workerState
@@ -177,40 +177,40 @@
 
 	// registrationsRead says that this owner has read the registrations. removedUnlisted names
 	// worker incarnations that were reported as ended with their instances before that.
-	listedOnce  bool
-	takenUnseen []string
+	registrationsRead bool
+	removedUnlisted   []string
 
 	// confirmedAt is when the newest transaction was sent that proved that this owner still owned
 	// the shard.
-	confirmed time.Time
+	confirmedAt time.Time
 
 	// storeRegainedAt is when the store last became available again.
-	storeRegained time.Time
+	storeRegainedAt time.Time
 
 	// workerRowsToDelete names ended workers whose rows are still stored.
-	unrecord map[string]struct{}
+	workerRowsToDelete map[string]struct{}
 
 	// idleWorkers names workers that ran nothing according to the previous owner. inheritedLeases
 	// holds what may run on other workers according to it. Both were read at handoverReadAt.
 	// claimHasHandover says that the row of this owner's claim repeats the handover.
-	idle     map[string]bool
-	leased   map[string]Leased
-	handedAt time.Time
-	passedOn bool
+	idleWorkers      map[string]bool
+	inheritedLeases  map[string]Leased
+	handoverReadAt   time.Time
+	claimHasHandover bool
 
 	// unobservedUntil is when the leases have lapsed of everything that earlier owners started on
 	// workers that the handover does not name.
-	blindUntil time.Time
+	unobservedUntil time.Time
 
 	// mostRunsSeen says that only known tasks may still run unobserved, allRunsSeen that none may.
-	seesMost bool
-	sighted  bool
+	mostRunsSeen bool
+	allRunsSeen  bool
 
 	// releasedUntil holds, by worker that an earlier owner released, until when an order to the
 	// worker's instance may be under way that this owner was not told of. anyReleasedUntil is the
 	// same for every worker without runs.
-	given         map[string]time.Time
-	anyGivenUntil time.Time
+	releasedUntil    map[string]time.Time
+	anyReleasedUntil time.Time
 
 	// standbyUnread says that an earlier owner may have written rows to the standby partition that
 	// this one has not read.
@@ -220,7 +220,7 @@
 	deposed bool
 
 	// nextPurgeAt is when ended jobs are next checked for removal.
-	forgetAt time.Time
+	nextPurgeAt time.Time
 
 	// refusing holds refusals that are in no batch yet. undecidedRefusals holds all refusals whose
 	// row is neither written nor given up. storedRefusals holds the refusals whose rows are stored,
@@ -230,31 +230,31 @@
 	// A job that is refused again is in refusalOrder twice. Its first entry delays the removal of
 	// the refusals behind it until the second refusal may be removed. So refusals are removed later
 	// than possible, but never too early.
-	refusing []*refusing
-	deciding map[string]*refusing
-	refused  map[string]Refusal
-	refusals []string
+	refusing          []*refusing
+	undecidedRefusals map[string]*refusing
+	storedRefusals    map[string]Refusal
+	refusalOrder      []string
 
 	// maxInstances is how many instances the service could have; survey estimates the work that
 	// waits.
-	most   int
-	survey survey
+	maxInstances int
+	survey       survey
 
 	// waitLoggedAt is when the reason why a task waits was last logged.
-	waitToldAt time.Time
+	waitLoggedAt time.Time
 
 	// missedDeadlineAt is when a job that had been passed over last became unable to end in time.
-	lossAt time.Time
+	missedDeadlineAt time.Time
 
 	// nextStartAt is when the next start that had to wait for the link may be sent; zero if none
 	// waits.
-	startAt time.Time
+	nextStartAt time.Time
 
 	// answerLatency tells whether this owner itself is late in handling answers.
-	pulse pulse
+	answerLatency answerLatency
 
 	// lastCall is the number of the last order that was given.
-	calls int64
+	lastCall int64
 
 	orders Orders
 }
@@ -262,33 +262,33 @@
 // New returns an empty shard for the owner with the given epoch.
 func New(name string, epoch, version int64, now time.Time, opts Options) *Shard {
 	return &Shard{
-		opts:       opts,
-		name:       name,
-		epoch:      epoch,
-		raised:     make(map[string]int64),
-		taken:      now,
-		blindUntil: now.Add(opts.BlindFor),
-		newVersion: version,
-		jobs:       make(map[string]*jobState),
-		workers:    make(map[string]*workerState),
-		waiting:    make(map[string]*jobState),
-		repeating:  make(map[string]*jobState),
-		due:        make(map[*run]struct{}),
-		tickets:    make(map[string]*permission),
-		dirty:      make(map[string]*jobState),
-		pending:    make(map[string]int),
-		usages:     make(map[string]*usage),
-		learned:    make(map[string]*measure),
-		unrecord:   make(map[string]struct{}),
-		idle:       make(map[string]bool),
-		leased:     make(map[string]Leased),
-		withdrawn:  make(map[string]bool),
-		unknown:    make(map[string]*unknownJob),
-		refused:    make(map[string]Refusal),
-		deciding:   make(map[string]*refusing),
-		gone:       make(map[string][]ended),
-		unanswered: make(map[string]map[job.TaskID]unansweredStart),
-		trials:     make(map[string]map[job.TaskID]struct{}),
+		opts:               opts,
+		name:               name,
+		epoch:              epoch,
+		fenceRaises:        make(map[string]int64),
+		takenAt:            now,
+		unobservedUntil:    now.Add(opts.UnobservedFor),
+		claimVersion:       version,
+		jobs:               make(map[string]*jobState),
+		workers:            make(map[string]*workerState),
+		waiting:            make(map[string]*jobState),
+		repeating:          make(map[string]*jobState),
+		dueRuns:            make(map[*run]struct{}),
+		tickets:            make(map[string]*stepTickets),
+		dirty:              make(map[string]*jobState),
+		pending:            make(map[string]int),
+		usages:             make(map[string]*usage),
+		runTimes:           make(map[string]*runTimeStats),
+		workerRowsToDelete: make(map[string]struct{}),
+		idleWorkers:        make(map[string]bool),
+		inheritedLeases:    make(map[string]Leased),
+		deferredCancels:    make(map[string]bool),
+		unknownJobs:        make(map[string]*unknownJob),
+		storedRefusals:     make(map[string]Refusal),
+		undecidedRefusals:  make(map[string]*refusing),
+		endedIncarnations:  make(map[string][]endedIncarnation),
+		unanswered:         make(map[string]map[job.TaskID]unansweredStart),
+		possibleCrashes:    make(map[string]map[job.TaskID]struct{}),
 	}
 }
 
@@ -316,25 +316,25 @@
 // knows of the worker. A worker whose lease had lapsed is used only once a later transaction no
 // longer names it as lapsed.
 func (s *Shard) Confirm(rows WorkerRows, sent time.Time) {
-	if sent.After(s.confirmed) {
-		s.confirmed = sent
+	if sent.After(s.confirmedAt) {
+		s.confirmedAt = sent
 	}
 	for _, ref := range rows.Used {
 		if w, found := s.workers[ref.ID]; found {
 			w.recorded = true
 		} else {
-			s.unrecord[ref.ID] = struct{}{}
+			s.workerRowsToDelete[ref.ID] = struct{}{}
 		}
 	}
 	for _, id := range rows.Ended {
-		delete(s.unrecord, id)
+		delete(s.workerRowsToDelete, id)
 	}
 }
 
 // NeedsConfirmation reports whether a worker can only be used after another transaction.
-func (s *Shard) Unconfirmed() bool {
+func (s *Shard) NeedsConfirmation() bool {
 	for _, w := range s.workers {
-		if (w.listed || len(w.runs) > 0) && s.isNamed(w) {
+		if (w.listed || len(w.runs) > 0) && s.isInHandover(w) {
 			return true
 		}
 	}
@@ -346,46 +346,46 @@
 	if s.deposed {
 		return Orders{}, now.Add(time.Second)
 	}
-	s.resolveUnknown(now)
-	s.lapse(now)
-	s.findUsable(now)
-	s.beginOccurrences(now)
+	s.resolveUnknownJobs(now)
+	s.expireLeases(now)
+	s.updateUsable(now)
+	s.addDueOccurrences(now)
 	s.moveOffDraining(now)
-	s.reportSight(now)
+	s.logUnobserved(now)
 	s.place(now)
 	s.speculate(now)
-	s.stops(now)
-	s.holds(now)
-	s.lookUp(now)
-	s.forget(now)
+	s.orderDueRuns(now)
+	s.orderPolls(now)
+	s.orderLookup(now)
+	s.forgetEndedJobs(now)
 	orders := s.orders
 	s.orders = Orders{}
-	return orders, s.wake(now)
+	return orders, s.nextWake(now)
 }
 
 // nextWake returns when the next timer of the shard is due.
-func (s *Shard) wake(now time.Time) time.Time {
-	next := now.Add(maxPause)
+func (s *Shard) nextWake(now time.Time) time.Time {
+	next := now.Add(maxTimerInterval)
 	earlier := func(t time.Time) {
 		if t.After(now) && t.Before(next) {
 			next = t
 		}
 	}
 	for _, w := range s.workers {
-		if w.look == 0 {
-			earlier(w.holdAt)
+		if w.pollCall == 0 {
+			earlier(w.nextPollAt)
 		}
 		if w.failures > 0 {
-			earlier(w.until)
+			earlier(w.leaseEnd)
 		}
 		earlier(w.avoidUntil)
 	}
-	for r := range s.due {
-		earlier(r.stopAt)
+	for r := range s.dueRuns {
+		earlier(r.nextStopAt)
 	}
-	earlier(s.startAt)
+	earlier(s.nextStartAt)
 	for _, j := range s.repeating {
-		earlier(j.record.Spec.Due(j.begunOccurrences))
+		earlier(j.record.Spec.Due(j.dueOccurrences))
 	}
 	return next
 }
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -45,13 +45,13 @@
 	w.run(time.Second)
 	for _, f := range w.workers {
 		if len(f.runs) > 0 {
-			f.cut = true
+			f.partitioned = true
 		}
 	}
 	w.run(testLease + 2*time.Second)
 	running := 0
 	for _, f := range w.workers {
-		if !f.cut {
+		if !f.partitioned {
 			running += len(f.runs)
 		}
 	}
@@ -59,7 +59,7 @@
 	w.check(t)
 }
 
-func TestLastingTaskStaysWhileAnotherIsOnSilentWorker(t *testing.T) {
+func TestLongRunningTaskStaysWhileAnotherIsOnSilentWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3)
 	one := lasting(2, 1)
@@ -146,7 +146,7 @@
 	w.submit("a", long)
 	w.run(500 * time.Millisecond)
 	for _, f := range w.workers {
-		f.cut = len(f.runs) > 0
+		f.partitioned = len(f.runs) > 0
 	}
 	w.takeOver()
 	w.run(10 * time.Second)
@@ -169,15 +169,15 @@
 		id := fmt.Sprintf("j%d", i)
 		switch rapid.IntRange(0, 17).Draw(t, "what") {
 		case 0:
-			f.cut = true
+			f.partitioned = true
 		case 1:
-			f.cut = false
+			f.partitioned = false
 		case 2:
 			w.takeOver()
 		case 3:
-			w.lose = time.Duration(rapid.IntRange(1, 5).Draw(t, "late")) * time.Second
+			w.startDelay = time.Duration(rapid.IntRange(1, 5).Draw(t, "late")) * time.Second
 		case 4:
-			w.lose = 0
+			w.startDelay = 0
 		case 5:
 			w.storeDown = rapid.Bool().Draw(t, "down")
 		case 6:
@@ -186,7 +186,7 @@
 			w.standbyOn = rapid.Bool().Draw(t, "standby on")
 			w.storeDown = w.standbyOn || w.storeDown
 		case 8:
-			w.standbyAway = rapid.Bool().Draw(t, "standby away")
+			w.standbyDown = rapid.Bool().Draw(t, "standby away")
 		case 9, 10:
 			w.release(time.Duration(rapid.IntRange(0, 50).Draw(t, "free for")) * tick)
 			w.storeDown = rapid.Bool().Draw(t, "down after it")
@@ -195,27 +195,27 @@
 			if !rapid.Bool().Draw(t, "beside") {
 				beside = nil
 			}
-			w.takeOverFromBeside(time.Duration(rapid.IntRange(1, 300).Draw(t, "acts on"))*tick, beside)
+			w.takeOverFromPartitioned(time.Duration(rapid.IntRange(1, 300).Draw(t, "acts on"))*tick, beside)
 		case 12:
-			names = append(names, w.replace(f, rapid.Bool().Draw(t, "taken")))
+			names = append(names, w.replaceWorker(f, rapid.Bool().Draw(t, "taken")))
 		default:
 			s := step(rapid.IntRange(1, 5).Draw(t, "tasks"))
 			s.PerWorker = rapid.IntRange(0, 2).Draw(t, "per worker")
 			if rapid.Bool().Draw(t, "at the owner") {
-				w.handIn(id, s, step(2, 0))
+				w.submitToOwner(id, s, step(2, 0))
 			}
-			if rapid.Bool().Draw(t, "at an entry") && !w.stood[id] {
+			if rapid.Bool().Draw(t, "at an entry") && !w.stored[id] {
 				// Its caller submits it again before the owner has stored it.
 				w.submit(id, s, step(2, 0))
 			}
 		}
 		w.run(time.Duration(rapid.IntRange(1, 150).Draw(t, "wait")) * tick)
 	}
-	w.lose = 0
+	w.startDelay = 0
 	w.storeDown = false
-	w.standbyAway = false
+	w.standbyDown = false
 	for _, f := range w.workers {
-		f.cut = false
+		f.partitioned = false
 	}
 	w.run(30 * time.Second)
 	for id := range w.records {
@@ -252,12 +252,12 @@
 	w.run(200 * time.Millisecond)
 	w.workers["w0"].down = true
 	w.run(testLease + 2*time.Second)
-	is.Equal(w.core.HandOver(w.now, false, testRowBytes).Idle, []string{"w0"})
+	is.Equal(w.core.BuildHandover(w.now, false, testHandoverBytes).Idle, []string{"w0"})
 	w.submit("a", step(4), step(2, 0))
 	w.run(500 * time.Millisecond)
-	lapsed := w.core.HandOver(w.now, false, testRowBytes)
+	lapsed := w.core.BuildHandover(w.now, false, testHandoverBytes)
 	w.workers["w0"].down = false // The worker is listed again but still unreachable.
-	w.workers["w0"].cut = true
+	w.workers["w0"].partitioned = true
 	w.takeOverWith(lapsed)
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
@@ -266,15 +266,15 @@
 
 // TestRegainedWorkerIsUsedOnlyOnceItIsNotInHandover guards against starting a task on a worker
 // that the last stored handover lists as idle.
-func TestRegainedWorkerIsUsedOnlyOnceItIsNoLongerNamed(t *testing.T) {
+func TestRegainedWorkerIsUsedOnlyOnceItIsNotInHandover(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.run(200 * time.Millisecond)
-	w.workers["w0"].cut = true
+	w.workers["w0"].partitioned = true
 	w.run(testLease + 2*time.Second)
-	is.Equal(w.core.HandOver(w.now, false, testRowBytes).Idle, []string{"w0"})
+	is.Equal(w.core.BuildHandover(w.now, false, testHandoverBytes).Idle, []string{"w0"})
 	w.frozen = true
-	w.workers["w0"].cut = false
+	w.workers["w0"].partitioned = false
 	w.submit("a", step(1))
 	w.run(time.Second)
 	is.Equal(len(w.workers["w0"].runs), 0)
@@ -286,7 +286,7 @@
 
 // TestNewOwnerCountsStopsOfPreviousOwner covers an owner that dies right after it has evicted a
 // long-running task. The next owner still finds the run and must count its stop.
-func TestNewOwnerCountsStopsOfTheOneBefore(t *testing.T) {
+func TestNewOwnerCountsStopsOfPreviousOwner(t *testing.T) {
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.submit("a", lasting(4, 1))
@@ -346,11 +346,11 @@
 	is := is.New(t)
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
-	w.core.End([]string{"w0"}, w.now)
+	w.core.RemoveTaken([]string{"w0"}, w.now)
 	w.submit("a", step(4), step(2, 0))
 	w.run(200 * time.Millisecond)
 	is.True(!w.used["w0"]) // The next transaction removes its row.
-	w.workers["w0"].cut = true
+	w.workers["w0"].partitioned = true
 	w.takeOver()
 	w.run(3 * time.Second)
 	is.Equal(w.shown["a"], job.Completed)
@@ -366,10 +366,10 @@
 	w.submit("a", step(4), step(2, 0))
 	w.run(200 * time.Millisecond)
 	f := w.workers["w0"]
-	f.cut = true
+	f.partitioned = true
 	f.unlisted = true
 	w.takeOver()
-	w.core.End([]string{"w0"}, w.now)
+	w.core.RemoveTaken([]string{"w0"}, w.now)
 	f.unlisted = false
 	w.list()
 	w.run(3 * time.Second)
@@ -378,7 +378,7 @@
 
 // TestEachEvictedTaskNeedsCapacityOfItsOwn covers two closed workers whose long-running tasks may
 // both be unavailable, and a single other worker that has capacity for only one of them.
-func TestLastingTasksAreSentAwayOnlyToRoomOfTheirOwn(t *testing.T) {
+func TestEachEvictedTaskNeedsCapacityOfItsOwn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(4)
 	one := lasting(3, 2)
@@ -402,7 +402,7 @@
 
 // TestStuckLongRunningTaskStartsOnClosedWorker covers a long-running task whose worker has ended
 // while the only other worker with capacity is closed and not empty.
-func TestStuckLastingTaskGoesToClosedWorker(t *testing.T) {
+func TestStuckLongRunningTaskStartsOnClosedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
@@ -418,7 +418,7 @@
 			for i := 0; i < 80; i++ {
 				w.core.SetClosed([]string{id}, w.now)
 				if i == 10 {
-					w.core.End([]string{otherOf(w, id)}, w.now)
+					w.core.RemoveTaken([]string{otherOf(w, id)}, w.now)
 					w.workers[otherOf(w, id)].down = true
 				}
 				w.run(100 * time.Millisecond)
--- a/shard/standby.go
+++ b/shard/standby.go
@@ -11,7 +11,7 @@
 // StandbyBatch is what an owner writes to the standby partition of its service while the service's
 // own partition accepts no writes: records of accepted jobs, and final states of jobs. Both stay
 // true whoever owns the service next.
-type Standby struct {
+type StandbyBatch struct {
 	// Records are the records of jobs that were submitted to this owner and are not known to be
 	// written anywhere.
 	Records []Record
@@ -21,25 +21,25 @@
 }
 
 // Empty reports whether there is nothing to write.
-func (b Standby) Empty() bool {
+func (b StandbyBatch) Empty() bool {
 	return len(b.Records) == 0 && len(b.Ended) == 0
 }
 
 // MarkStandbyUnread says that an earlier owner may have written rows to the standby partition that
 // this one has not read yet. Until RestoreStandby is called, no job that an earlier owner may have
 // seen is started.
-func (s *Shard) AwaitStandby() {
+func (s *Shard) MarkStandbyUnread() {
 	s.standbyUnread = true
 }
 
 // RestoreStandby applies the rows of the standby partition. Final states come first, so that no job
 // that has ended is started. progress holds the progress rows of the service's own partition for
 // jobs whose record is not there. A record that can't be applied is skipped and named in the error.
-func (s *Shard) ReadStandby(records []Record, ended, progress map[string]Progress, now time.Time) error {
+func (s *Shard) RestoreStandby(records []Record, ended, progress map[string]Progress, now time.Time) error {
 	var failed error
 	s.standbyUnread = false
 	for id, progress := range ended {
-		s.endedInStandby(id, progress, now)
+		s.restoreStandbyEnd(id, progress, now)
 		s.jobs[id].inStandby = true
 	}
 	for _, record := range records {
@@ -47,14 +47,14 @@
 		if p, found := progress[record.ID]; found {
 			before = &p
 		}
-		if err := s.restoreStandby(record, before, now); err != nil {
+		if err := s.restoreStandbyRecord(record, before, now); err != nil {
 			failed = errors.Join(failed, fmt.Errorf("record of job %s: %w", record.ID, err))
 			continue
 		}
 		s.jobs[record.ID].inStandby = true
 	}
-	for id := range s.withdrawn {
-		s.cancelAwaited(id, now)
+	for id := range s.deferredCancels {
+		s.applyDeferredCancel(id, now)
 	}
 	return failed
 }
@@ -62,30 +62,30 @@
 // restoreStandbyRecord restores a job whose record is in the standby partition. If the job was
 // submitted again before that partition was read, it is known as a new job. The new one is replaced
 // by the job that earlier owners may have run.
-func (s *Shard) restoreStandby(record Record, progress *Progress, now time.Time) error {
+func (s *Shard) restoreStandbyRecord(record Record, progress *Progress, now time.Time) error {
 	submitted, known := s.jobs[record.ID]
 	if !known || submitted.restored || submitted.state.Final() {
 		return s.Restore(record, progress, now)
 	}
 	s.unsubmit(submitted)
-	s.countPending(submitted, -1)
+	s.addPending(submitted, -1)
 	delete(s.jobs, record.ID)
 	delete(s.waiting, record.ID)
 	if err := s.Restore(record, progress, now); err != nil {
 		return err
 	}
-	s.jobs[record.ID].asked = append(s.jobs[record.ID].asked, submitted.asked...)
-	submitted.answerHanded(true)
+	s.jobs[record.ID].cancelWaiters = append(s.jobs[record.ID].cancelWaiters, submitted.cancelWaiters...)
+	submitted.answerSubmitters(true)
 	return nil
 }
 
 // restoreStandbyEnd applies the final state of a job whose row in the service's own partition may
 // be behind.
-func (s *Shard) endedInStandby(id string, progress Progress, now time.Time) {
+func (s *Shard) restoreStandbyEnd(id string, progress Progress, now time.Time) {
 	j, known := s.jobs[id]
 	if !known {
 		s.RestoreEnded(id, progress)
-		s.jobs[id].settled = false
+		s.jobs[id].finalStored = false
 		s.jobs[id].offeredStandby = true
 		s.dirty[id] = s.jobs[id]
 		return
@@ -96,19 +96,19 @@
 	}
 	s.unsubmit(j)
 	s.finishJob(j, progress.State, now)
-	s.opts.Show(id, progress.State)
+	s.opts.PublishState(id, progress.State)
 }
 
 // NextStandbyBatch returns the rows to be written to the standby partition, at most the given
 // number. The caller must answer with StandbyWritten or UndoStandby.
-func (s *Shard) TakeStandby(most int) Standby {
-	var b Standby
+func (s *Shard) NextStandbyBatch(most int) StandbyBatch {
+	var b StandbyBatch
 	for id, j := range s.jobs {
 		if len(b.Records)+len(b.Ended) >= most {
 			break
 		}
 		switch {
-		case j.offeredStandby || j.settled:
+		case j.offeredStandby || j.finalStored:
 		case j.state.Final():
 			j.offeredStandby = true
 			b.Ended = append(b.Ended, Write{
@@ -125,7 +125,7 @@
 
 // StandbyWritten handles a standby batch that was written: its jobs may start, and its final states
 // may be published. Ends are acknowledged only once the service's own partition holds them.
-func (s *Shard) StandbyWritten(b Standby, now time.Time) {
+func (s *Shard) StandbyWritten(b StandbyBatch, now time.Time) {
 	for _, record := range b.Records {
 		j := s.jobs[record.ID]
 		if j == nil {
@@ -135,7 +135,7 @@
 		j.offeredStandby = false
 		if j.unwritten {
 			s.unsubmit(j)
-			s.recordStands(j, now)
+			s.recordStored(j, now)
 		}
 	}
 	for _, w := range b.Ended {
@@ -144,12 +144,12 @@
 			continue
 		}
 		j.inStandby = true
-		s.tellEnd(j, w.Progress.State, now)
+		s.publishEnd(j, w.Progress.State, now)
 	}
 }
 
 // UndoStandby takes back a standby batch that certainly was not written.
-func (s *Shard) UndoStandby(b Standby) {
+func (s *Shard) UndoStandby(b StandbyBatch) {
 	for _, record := range b.Records {
 		if j := s.jobs[record.ID]; j != nil {
 			j.offeredStandby = false
@@ -164,13 +164,13 @@
 
 // RedundantStandby returns at most the given number of jobs whose rows in the standby partition are
 // no longer needed, because the service's own partition holds their final state.
-func (s *Shard) Settled(most int) []string {
+func (s *Shard) RedundantStandby(most int) []string {
 	var list []string
 	for id, j := range s.jobs {
 		if len(list) >= most {
 			break
 		}
-		if j.inStandby && j.settled {
+		if j.inStandby && j.finalStored {
 			list = append(list, id)
 		}
 	}
@@ -187,13 +187,13 @@
 }
 
 // publishEnd publishes the final state of a job once the state is written.
-func (s *Shard) tellEnd(j *jobState, state job.State, now time.Time) {
-	s.opts.Show(j.record.ID, state)
-	s.opts.Report("job ended", "job", j.record.ID, "state", string(state), "late_ms", now.Sub(j.deadline).Milliseconds())
+func (s *Shard) publishEnd(j *jobState, state job.State, now time.Time) {
+	s.opts.PublishState(j.record.ID, state)
+	s.opts.LogEvent("job ended", "job", j.record.ID, "state", string(state), "late_ms", now.Sub(j.deadline).Milliseconds())
 	j.unwritten = false
-	j.answerHanded(true)
-	for _, done := range j.asked {
+	j.answerSubmitters(true)
+	for _, done := range j.cancelWaiters {
 		done()
 	}
-	j.asked = nil
+	j.cancelWaiters = nil
 }
--- a/shard/standby_test.go
+++ b/shard/standby_test.go
@@ -12,24 +12,24 @@
 // TestJobRunsWhileOnlyStandbyPartitionIsUp covers an outage of the own partition of a service:
 // jobs are accepted, started and published as ended, and none of that happens twice once the
 // partition is back.
-func TestJobIsTakenAndEndsWhileOnlyTheStandbyPartIsUp(t *testing.T) {
+func TestJobRunsWhileOnlyStandbyPartitionIsUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("before", step(1))
+	w.submitToOwner("before", step(1))
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.standbyOn = true
-	w.handIn("meanwhile", step(1))
+	w.submitToOwner("meanwhile", step(1))
 	w.run(200 * time.Millisecond)
 	is.True(w.taken["meanwhile"])
 	w.run(2 * time.Second)
 	is.Equal(w.shown["before"], job.Completed)
 	is.Equal(w.shown["meanwhile"], job.Completed)
-	is.Equal(len(w.noted), 0) // Ends are acknowledged only once they are stored in the own partition.
+	is.Equal(len(w.acked), 0) // Ends are acknowledged only once they are stored in the own partition.
 	w.storeDown = false
 	w.run(2 * time.Second)
-	is.Equal(len(w.noted), 2)
+	is.Equal(len(w.acked), 2)
 	is.Equal(len(w.standbyRecords)+len(w.standbyEnded), 0)
 	is.Equal(w.progress["meanwhile"].State, job.Completed)
 	w.check(t)
@@ -38,7 +38,7 @@
 // TestNextOwnerRestoresStandbyPartition lets the owner die together with all workers. An ended
 // job and a running one are stored only in the standby partition, and no worker is left to list
 // their ends.
-func TestSuccessorTakesOverWhatStandsInTheStandbyPart(t *testing.T) {
+func TestNextOwnerRestoresStandbyPartition(t *testing.T) {
 	for name, unread := range map[string]time.Duration{
 		"read at once":                0,
 		"not to be read for a second": time.Second,
@@ -47,13 +47,13 @@
 			is := is.New(t)
 			w := newWorld(2)
 			w.run(200 * time.Millisecond)
-			w.handIn("old", step(1))
+			w.submitToOwner("old", step(1))
 			w.run(200 * time.Millisecond)
 			w.storeDown = true
 			w.standbyOn = true
-			w.handIn("ended", step(1))
+			w.submitToOwner("ended", step(1))
 			w.run(2 * time.Second)
-			w.handIn("open", step(1))
+			w.submitToOwner("open", step(1))
 			w.run(100 * time.Millisecond)
 			is.Equal(w.shown["ended"], job.Completed)
 			for _, f := range w.workers {
@@ -61,12 +61,12 @@
 			}
 			w.addWorker("new", "r0-1")
 			w.storeDown = false
-			w.standbyAway = unread > 0
+			w.standbyDown = unread > 0
 			w.takeOver()
 			// A caller submits a job again. This owner can't know yet that the job has ended.
-			w.handIn("ended", step(1))
+			w.submitToOwner("ended", step(1))
 			w.run(unread + 10*time.Millisecond)
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(8 * time.Second)
 			is.Equal(w.shown["old"], job.Completed)
 			is.Equal(w.shown["ended"], job.Completed)
@@ -78,11 +78,11 @@
 
 // TestCancellationIsStoredWhileOnlyStandbyPartitionIsUp cancels a job during an outage of the own
 // partition, after which the owner dies.
-func TestWithdrawalStandsWhileOnlyTheStandbyPartIsUp(t *testing.T) {
+func TestCancellationIsStoredWhileOnlyStandbyPartitionIsUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("a", step(1, 0)) // The step depends on itself, so that it never starts.
+	w.submitToOwner("a", step(1, 0)) // The step depends on itself, so that it never starts.
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.standbyOn = true
@@ -101,20 +101,20 @@
 // TestNextOwnerKnowsEndsOfStandbyJobs lets the own partition return before a job ends that was
 // accepted during the outage. The progress of the job is stored in the own partition and its
 // record in the standby partition. The worker forgets the ends that were acknowledged.
-func TestSuccessorKnowsEndsOfJobsThatOnlyTheStandbyPartHolds(t *testing.T) {
+func TestNextOwnerKnowsEndsOfStandbyJobs(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("other", step(1))
+	w.submitToOwner("other", step(1))
 	w.run(tick) // The write of its record is in flight; that of the next job has not begun.
 	w.storeDown = true
 	w.standbyOn = true
-	w.handIn("a", step(2), step(2, 0))
+	w.submitToOwner("a", step(2), step(2, 0))
 	w.run(100 * time.Millisecond)
 	is.True(w.taken["a"])
 	w.storeDown = false
 	w.run(1300 * time.Millisecond)
-	is.Equal(len(w.noted), 3)
+	is.Equal(len(w.acked), 3)
 	is.Equal(len(w.records), 0)
 	w.takeOver()
 	w.run(5 * time.Second)
@@ -124,19 +124,19 @@
 
 // TestRunsOfStandbyJobsContinue lets the owner die while a job runs that is stored only in the
 // standby partition, which then cannot be read for a while.
-func TestRunsOfJobsInTheStandbyPartGoOn(t *testing.T) {
+func TestRunsOfStandbyJobsContinue(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.standbyOn = true
-	w.handIn("a", lasting(2, 0))
+	w.submitToOwner("a", lasting(2, 0))
 	w.run(time.Second)
 	w.storeDown = false
-	w.standbyAway = true
+	w.standbyDown = true
 	w.takeOver()
 	w.run(time.Second)
-	w.standbyAway = false
+	w.standbyDown = false
 	w.run(time.Second)
 	runs := 0
 	for _, f := range w.workers {
@@ -152,27 +152,27 @@
 // TestStandbyJobSubmittedAgainRunsOnce covers a job that is stored only in the standby partition
 // and that its caller submits again, seconds after it was accepted, to a next owner that has not
 // read that partition yet. Tasks that have ended must not run again.
-func TestJobOfTheStandbyPartThatIsSentAgainRunsOnce(t *testing.T) {
+func TestStandbyJobSubmittedAgainRunsOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(2)
 	w.run(200 * time.Millisecond)
-	w.handIn("other", step(1))
+	w.submitToOwner("other", step(1))
 	w.run(tick) // The write of its record is in flight; that of the next job has not begun.
 	w.storeDown = true
 	w.standbyOn = true
-	w.handIn("again", step(2), step(1, 0))
+	w.submitToOwner("again", step(2), step(1, 0))
 	w.run(1300 * time.Millisecond)
 	is.True(w.taken["again"])
 	w.storeDown = false
 	w.run(300 * time.Millisecond) // The ends are stored and acknowledged.
-	is.True(len(w.noted) > 0)
+	is.True(len(w.acked) > 0)
 	is.Equal(len(w.records), 0)
-	w.standbyAway = true
+	w.standbyDown = true
 	w.takeOver()
 	w.run(100 * time.Millisecond)
-	w.handIn("again", step(2), step(1, 0))
+	w.submitToOwner("again", step(2), step(1, 0))
 	w.run(200 * time.Millisecond)
-	w.standbyAway = false
+	w.standbyDown = false
 	w.run(10 * time.Second)
 	is.Equal(w.shown["again"], job.Completed)
 	is.True(w.taken["again"])
--- a/shard/takeover_chain_test.go
+++ b/shard/takeover_chain_test.go
@@ -16,7 +16,7 @@
 // owner knows how long that can take, but ends soon: before or after it has polled the worker,
 // and before or after its first write. The owner after that may not start the task elsewhere any
 // sooner.
-func TestWaitForAnOwnerThatLivesOutlastsItsSuccessor(t *testing.T) {
+func TestWaitForDeposedOwnerOutlastsItsSuccessor(t *testing.T) {
 	next := map[string]func(w *world){
 		"released": func(w *world) { w.release(0) },
 		"died":     func(w *world) { w.takeOver() },
@@ -29,7 +29,7 @@
 		for _, activeFor := range []time.Duration{0, time.Second} {
 			for _, polls := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s after %v, polls %v", name, activeFor, polls), func(t *testing.T) {
-					outlasts(t, activeFor, polls, succeed)
+					checkWaitOutlasts(t, activeFor, polls, succeed)
 				})
 			}
 		}
@@ -38,7 +38,7 @@
 
 // checkWaitOutlasts does one run in which the second owner is active for a while and polls workers
 // or not.
-func outlasts(t *testing.T, activeFor time.Duration, polls bool, succeed func(w *world)) {
+func checkWaitOutlasts(t *testing.T, activeFor time.Duration, polls bool, succeed func(w *world)) {
 	t.Helper()
 	const actsOn = 3250 * time.Millisecond // How long a deposed owner can stay active.
 	is := is.New(t)
@@ -46,25 +46,25 @@
 	w.run(200 * time.Millisecond)
 	w.submit("a", lasting(1, 1))
 	w.run(time.Second)
-	f := holderOf(w, "a")[0]
+	f := reachableWorkersOf(w, "a")[0]
 	first := w.epoch
-	f.cut = true // Only the first owner still reaches the worker.
+	f.partitioned = true // Only the first owner still reaches the worker.
 	until := w.now.Add(actsOn)
 	runFor := func(d time.Duration) {
 		for end := w.now.Add(d); w.now.Before(end); {
 			if w.now.Before(until) {
-				f.renew(w, first, w.now.Sub(w.start)+testLease)
+				f.renewLease(w, first, w.now.Sub(w.start)+testLease)
 			}
 			w.run(tick)
 		}
 	}
-	w.takeOverFromLiving(actsOn)
-	w.standbyAway = !polls // No worker is polled before the standby partition is read.
+	w.takeOverFromActive(actsOn)
+	w.standbyDown = !polls // No worker is polled before the standby partition is read.
 	runFor(activeFor)
 	succeed(w)
-	w.standbyAway = false
+	w.standbyDown = false
 	runFor(10 * time.Second)
-	is.Equal(len(holderOf(w, "a")), 1)
+	is.Equal(len(reachableWorkersOf(w, "a")), 1)
 	w.check(t)
 }
 
@@ -74,15 +74,15 @@
 	prove.Guard(t, prove.AtMostOnce, "wait-outlasts-its-owner", func(on bool) func(*rapid.T) {
 		return func(t *rapid.T) {
 			w := newWorld(3)
-			w.waitless = !on
+			w.dropHandoverWait = !on
 			w.run(200 * time.Millisecond)
 			w.submit("a", lasting(rapid.IntRange(1, 3).Draw(t, "tasks"), 1))
 			w.run(time.Second)
-			f := holderOf(w, "a")[0]
+			f := reachableWorkersOf(w, "a")[0]
 			on := time.Duration(rapid.IntRange(100, 325).Draw(t, "acts on")) * tick
-			w.takeOverFromBeside(on, f)
+			w.takeOverFromPartitioned(on, f)
 			for range rapid.IntRange(1, 3).Draw(t, "quick takeovers") {
-				w.standbyAway = rapid.Bool().Draw(t, "standby away")
+				w.standbyDown = rapid.Bool().Draw(t, "standby away")
 				w.run(time.Duration(rapid.IntRange(0, 150).Draw(t, "works for")) * tick)
 				if rapid.Bool().Draw(t, "released") {
 					w.release(time.Duration(rapid.IntRange(0, 20).Draw(t, "free for")) * tick)
@@ -90,7 +90,7 @@
 					w.takeOver()
 				}
 			}
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(12 * time.Second)
 			w.check(t)
 		}
--- a/shard/unknown.go
+++ b/shard/unknown.go
@@ -9,10 +9,10 @@
 
 const (
 	// maxLookupJobs bounds the jobs that one lookup asks for.
-	lookupJobsMost = 500
+	maxLookupJobs = 500
 
 	// lookupRetryInterval is the time between a failed lookup and the next one.
-	lookupPause = 100 * time.Millisecond
+	lookupRetryInterval = 100 * time.Millisecond
 
 	// lookupTimeout is how long this owner waits for the answer to a lookup.
 	lookupTimeout = 5 * time.Second
@@ -51,9 +51,9 @@
 }
 
 // addUnknownJob records that a worker lists runs or ends of a job that this owner does not know.
-func (s *Shard) noteUnknown(id string) {
-	if _, found := s.unknown[id]; !found {
-		s.unknown[id] = &unknownJob{}
+func (s *Shard) addUnknownJob(id string) {
+	if _, found := s.unknownJobs[id]; !found {
+		s.unknownJobs[id] = &unknownJob{}
 	}
 }
 
@@ -62,16 +62,16 @@
 // would run again.
 func (s *Shard) deferEnd(w *workerState, end outside.End, now time.Time) {
 	if r, found := w.runs[end.Task]; found && r.number == end.Run {
-		s.drop(r, now)
+		s.dropRun(r, now)
 	}
 	w.deferred = append(w.deferred, end)
-	s.noteUnknown(end.Task.Job)
-	s.reportRun("end of an unknown job", end.Task, end.Run, w, "how", string(end.Kind), "number", end.Number)
+	s.addUnknownJob(end.Task.Job)
+	s.logRun("end of an unknown job", end.Task, end.Run, w, "how", string(end.Kind), "number", end.Number)
 }
 
 // lastAcknowledgeable returns the number of the last end that may be acknowledged once its batch is
 // written. Deferred ends and those after them may not be.
-func (w *workerState) acknowledgeable() int64 {
+func (w *workerState) lastAcknowledgeable() int64 {
 	if len(w.deferred) > 0 {
 		return min(w.processed, w.deferred[0].Number-1)
 	}
@@ -79,32 +79,32 @@
 }
 
 // resolveUnknownJobs applies the runs and ends that workers list of jobs that have become known.
-func (s *Shard) resolveUnknown(now time.Time) {
-	for id := range s.unknown {
+func (s *Shard) resolveUnknownJobs(now time.Time) {
+	for id := range s.unknownJobs {
 		if s.knownJob(id) != nil {
-			s.resolve(id, now)
+			s.resolveJob(id, now)
 		}
 	}
 }
 
 // resolveJob applies the runs and ends that workers list of a job that has become known or that has
 // no record.
-func (s *Shard) resolve(id string, now time.Time) {
-	delete(s.unknown, id)
+func (s *Shard) resolveJob(id string, now time.Time) {
+	delete(s.unknownJobs, id)
 	for _, w := range s.workers {
-		s.takeDeferred(w, id, now)
+		s.applyDeferredEnds(w, id, now)
 	}
 	for _, w := range s.workers {
 		for _, r := range w.runs {
 			if r.id.Job == id && r.unsized {
-				s.recognise(r)
+				s.adoptRun(r)
 			}
 		}
 	}
 }
 
 // applyDeferredEnds applies the deferred ends of a job at a worker.
-func (s *Shard) takeDeferred(w *workerState, id string, now time.Time) {
+func (s *Shard) applyDeferredEnds(w *workerState, id string, now time.Time) {
 	kept := w.deferred
 	w.deferred = nil
 	for _, end := range kept {
@@ -112,19 +112,19 @@
 			w.deferred = append(w.deferred, end)
 			continue
 		}
-		s.ended(w, end, now)
-		w.ackBatch = s.batch + 1
-		w.holdAt = now
+		s.handleEnd(w, end, now)
+		w.ackBatch = s.lastBatch + 1
+		w.nextPollAt = now
 	}
 }
 
 // adoptRun assigns a run that was found at a worker to its task, or stops the run if the task does
 // not need it.
-func (s *Shard) recognise(r *run) {
+func (s *Shard) adoptRun(r *run) {
 	j := s.knownJob(r.id.Job)
 	var t *taskState
 	if j != nil {
-		t = s.taskOf(j, r.id)
+		t = s.findOrBuildTask(j, r.id)
 	}
 	if t == nil {
 		s.stop(r, reasonUnwanted)
@@ -136,11 +136,11 @@
 	s.releaseQuota(r)
 	r.unsized = false
 	r.charge = j.record.Spec.Steps[r.id.Step].Charge()
-	s.attach(r, j, t)
+	s.attachRun(r, j, t)
 	if !wanted {
 		s.stop(r, reasonUnwanted)
 	}
-	s.reportRun("run recognised", r.id, r.number, r.worker, "wanted", wanted)
+	s.logRun("run recognised", r.id, r.number, r.worker, "wanted", wanted)
 }
 
 // needsRun reports whether a task needs a run that was found at a worker.
@@ -150,16 +150,16 @@
 
 // orderLookup orders a lookup of the unknown jobs; only one is under way at a time. A job whose own
 // record waits to be written needs no lookup: that write reports a record that exists already.
-func (s *Shard) lookUp(now time.Time) {
-	if s.lookup != 0 && now.Before(s.lookupUntil) {
+func (s *Shard) orderLookup(now time.Time) {
+	if s.lookup != 0 && now.Before(s.lookupDeadline) {
 		return
 	}
-	if now.Before(s.lookupAt) {
+	if now.Before(s.nextLookupAt) {
 		return
 	}
 	var ids []string
-	for id := range s.unknown {
-		if s.jobs[id] == nil && len(ids) < lookupJobsMost {
+	for id := range s.unknownJobs {
+		if s.jobs[id] == nil && len(ids) < maxLookupJobs {
 			ids = append(ids, id)
 		}
 	}
@@ -167,11 +167,11 @@
 		return
 	}
 	s.lookup = s.nextCall()
-	s.lookupUntil = now.Add(lookupTimeout)
+	s.lookupDeadline = now.Add(lookupTimeout)
 	for _, id := range ids {
-		s.unknown[id].lookup = s.lookup
+		s.unknownJobs[id].lookup = s.lookup
 	}
-	s.opts.Report("unknown jobs looked up", "jobs", len(ids), "first", ids[0])
+	s.opts.LogEvent("unknown jobs looked up", "jobs", len(ids), "first", ids[0])
 	s.orders.Lookups = append(s.orders.Lookups, Lookup{
 		Call: s.lookup,
 		Jobs: ids,
@@ -186,11 +186,11 @@
 	}
 	s.lookup = 0
 	if err != nil {
-		s.lookupAt = now.Add(lookupPause)
-		s.opts.Report("unknown jobs not looked up", "jobs", len(lookup.Jobs), "error", err.Error())
+		s.nextLookupAt = now.Add(lookupRetryInterval)
+		s.opts.LogEvent("unknown jobs not looked up", "jobs", len(lookup.Jobs), "error", err.Error())
 	}
 	for _, id := range lookup.Jobs {
-		u, found := s.unknown[id]
+		u, found := s.unknownJobs[id]
 		if !found || u.lookup != lookup.Call {
 			continue
 		}
@@ -198,13 +198,13 @@
 		if err != nil || s.jobs[id] != nil {
 			continue
 		}
-		s.opts.Report("job has no record", "job", id)
-		s.resolve(id, now)
+		s.opts.LogEvent("job has no record", "job", id)
+		s.resolveJob(id, now)
 	}
 }
 
 // appendDeferredTasks appends the tasks of deferred ends.
-func (w *workerState) deferredTasks(tasks []job.TaskID) []job.TaskID {
+func (w *workerState) appendDeferredTasks(tasks []job.TaskID) []job.TaskID {
 	for _, end := range w.deferred {
 		tasks = append(tasks, end.Task)
 	}
--- a/shard/unknown_test.go
+++ b/shard/unknown_test.go
@@ -14,7 +14,7 @@
 
 // acceptAtDeposedOwner stores the record of a job and passes it to the previous owner, which is
 // still running.
-func tellDeposed(w *world, id string, steps ...job.Step) {
+func acceptAtDeposedOwner(w *world, id string, steps ...job.Step) {
 	record := w.record(id, steps...)
 	w.store(record)
 	w.zombies[len(w.zombies)-1].core.Accept(record, w.version, true, w.now)
@@ -22,11 +22,11 @@
 
 // newWorldWithDeposedOwner returns a world in which a deposed owner runs on for 2 s and the next
 // owner has not polled any worker yet.
-func deposedWorld() *world {
+func newWorldWithDeposedOwner() *world {
 	w := newWorld(3)
 	w.run(200 * time.Millisecond)
-	w.standbyAway = true
-	w.takeOverFromLiving(2 * time.Second)
+	w.standbyDown = true
+	w.takeOverFromActive(2 * time.Second)
 	w.run(100 * time.Millisecond)
 	return w
 }
@@ -34,7 +34,7 @@
 // TestJobSubmittedAgainToNextOwnerRunsOnce covers a caller that submits its job again to the next
 // owner, which matches the runs that it finds to this submission. When its write reveals that
 // the record is already stored, it must not start the tasks beside the runs that it has found.
-func TestJobHandedInAgainAtSuccessorRunsOnce(t *testing.T) {
+func TestJobSubmittedAgainToNextOwnerRunsOnce(t *testing.T) {
 	for name, order := range map[string]struct{ before, after time.Duration }{
 		"before its runs are found": {before: 300 * time.Millisecond, after: 0},
 		"after its runs are found":  {before: 0, after: 100 * time.Millisecond},
@@ -42,17 +42,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := deposedWorld()
+			w := newWorldWithDeposedOwner()
 			w.lookupsFail = true // Only the write reveals that the record is stored.
-			tellDeposed(w, "a", step(4))
+			acceptAtDeposedOwner(w, "a", step(4))
 			w.run(order.before + 100*time.Millisecond)
 			if order.before > 0 {
-				w.handIn("a", step(4))
+				w.submitToOwner("a", step(4))
 			}
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(order.after + 50*time.Millisecond)
 			if order.after > 0 {
-				w.handIn("a", step(4))
+				w.submitToOwner("a", step(4))
 			}
 			w.run(10 * time.Second)
 			w.check(t)
@@ -64,12 +64,12 @@
 
 // TestNextOwnerLooksUpJobsOfUnknownRuns covers a job that is not announced to the next owner, so
 // that the next owner has to look up its record.
-func TestSuccessorLooksUpJobsOfRunsThatItFinds(t *testing.T) {
+func TestNextOwnerLooksUpJobsOfUnknownRuns(t *testing.T) {
 	is := is.New(t)
-	w := deposedWorld()
-	tellDeposed(w, "a", step(4))
+	w := newWorldWithDeposedOwner()
+	acceptAtDeposedOwner(w, "a", step(4))
 	w.run(100 * time.Millisecond)
-	w.standbyAway = false
+	w.standbyDown = false
 	w.run(10 * time.Second)
 	w.check(t)
 	is.Equal(w.shown["a"], job.Completed)
@@ -84,11 +84,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := deposedWorld()
-			tellDeposed(w, "a", step(4))
+			w := newWorldWithDeposedOwner()
+			acceptAtDeposedOwner(w, "a", step(4))
 			w.run(sight)
 			delete(w.records, "a")
-			w.standbyAway = false
+			w.standbyDown = false
 			w.run(700 * time.Millisecond)
 			for _, f := range w.workers {
 				is.Equal(len(f.runs), 0) // Each run is stopped.
@@ -107,19 +107,19 @@
 // it reads the end.
 func TestEndOfAnUnknownJobIsHandedOver(t *testing.T) {
 	is := is.New(t)
-	w := deposedWorld()
+	w := newWorldWithDeposedOwner()
 	w.lookupsFail = true
-	tellDeposed(w, "a", step(4))
+	acceptAtDeposedOwner(w, "a", step(4))
 	w.run(1500 * time.Millisecond)
-	w.standbyAway = false
+	w.standbyDown = false
 	w.run(200 * time.Millisecond)
 	for _, f := range w.workers {
-		f.cut = len(f.ends) > 0
+		f.partitioned = len(f.ends) > 0
 	}
 	w.release(0)
 	w.run(time.Second)
 	for _, f := range w.workers {
-		f.cut = false
+		f.partitioned = false
 	}
 	w.run(10 * time.Second)
 	w.check(t)
@@ -128,13 +128,13 @@
 
 // TestCancelledUnknownJobIsStopped covers a cancellation that arrives before the record of its
 // job.
-func TestUnknownJobThatIsCancelledIsStopped(t *testing.T) {
+func TestCancelledUnknownJobIsStopped(t *testing.T) {
 	is := is.New(t)
-	w := deposedWorld()
+	w := newWorldWithDeposedOwner()
 	w.lookupsFail = true
-	tellDeposed(w, "a", lasting(3, 1))
+	acceptAtDeposedOwner(w, "a", lasting(3, 1))
 	w.run(200 * time.Millisecond)
-	w.standbyAway = false
+	w.standbyDown = false
 	w.run(200 * time.Millisecond)
 	w.cancelRows["a"] = true
 	w.readCancelRow("a")
@@ -147,7 +147,7 @@
 
 // TestJobsAcceptedByDeposedOwnersRunOnce lets entries pass jobs to deposed owners at any moment.
 // Next owners learn of these jobs from a stored row, from the caller, or not at all.
-func TestJobsThatDeposedOwnersAreToldOfRunOnce(t *testing.T) {
+func TestJobsAcceptedByDeposedOwnersRunOnce(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
 		w := newWorld(4)
 		w.run(200 * time.Millisecond)
@@ -157,35 +157,35 @@
 			f := w.workers[fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(t, "worker"))]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				f.cut = !f.cut
+				f.partitioned = !f.partitioned
 			case 1:
-				w.standbyAway = rapid.Bool().Draw(t, "standby away")
+				w.standbyDown = rapid.Bool().Draw(t, "standby away")
 			case 2:
 				w.lookupsFail = rapid.Bool().Draw(t, "lookups fail")
 			case 3:
-				w.lookupsLate = time.Duration(rapid.IntRange(0, 100).Draw(t, "lookups take")) * tick
+				w.lookupDelay = time.Duration(rapid.IntRange(0, 100).Draw(t, "lookups take")) * tick
 			case 4:
 				w.release(time.Duration(rapid.IntRange(0, 50).Draw(t, "free for")) * tick)
 			case 5, 6:
-				w.takeOverFromLiving(time.Duration(rapid.IntRange(1, 300).Draw(t, "acts on")) * tick)
+				w.takeOverFromActive(time.Duration(rapid.IntRange(1, 300).Draw(t, "acts on")) * tick)
 			default:
 				s := step(rapid.IntRange(1, 5).Draw(t, "tasks"))
 				if len(w.zombies) == 0 {
 					w.submit(id, s, step(2, 0))
 					break
 				}
-				tellDeposed(w, id, s, step(2, 0))
+				acceptAtDeposedOwner(w, id, s, step(2, 0))
 				if rapid.Bool().Draw(t, "handed in again") {
 					w.run(time.Duration(rapid.IntRange(0, 150).Draw(t, "after")) * tick)
-					w.handIn(id, s, step(2, 0))
+					w.submitToOwner(id, s, step(2, 0))
 				}
 			}
 			w.run(time.Duration(rapid.IntRange(1, 150).Draw(t, "wait")) * tick)
 		}
-		w.standbyAway = false
+		w.standbyDown = false
 		w.lookupsFail = false
 		for _, f := range w.workers {
-			f.cut = false
+			f.partitioned = false
 		}
 		// The owner learns of jobs without runs from their stored records.
 		for id, record := range w.records {
