--- a/shard/worker.go
+++ b/shard/worker.go
@@ -10,27 +10,27 @@
 const (
 	// refusalBackoff is how long nothing is placed on a worker that refused an order. Its free
 	// resources are known again after the next poll.
-	avoidAfterRefusal = 250 * time.Millisecond
+	refusalBackoff = 250 * time.Millisecond
 
 	// endedRetention is how long an ended incarnation of a worker is remembered: several times the
 	// heartbeats after which its registration disappears.
-	goneFor = 60 * time.Second
+	endedRetention = 60 * time.Second
 
 	// promptFailureTimeout is how soon a poll of a silent worker fails at the latest. Such a poll
 	// waits for nothing at the worker and has 0.6 s. A poll that took longer to fail shows that
 	// this owner has no processor time to handle answers.
-	promptFailure = 900 * time.Millisecond
+	promptFailureTimeout = 900 * time.Millisecond
 
 	// minRetryBackoff and maxRetryBackoff bound the pauses between failed polls of a worker, and
 	// between stops that it does not carry out.
-	retryFirst = 60 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	minRetryBackoff = 60 * time.Millisecond
+	maxRetryBackoff = 400 * time.Millisecond
 
 	// storeReturnGrace is how long after the store became available again a worker without a
 	// registration may still be given tasks while it answers. Registrations that lapsed while the
 	// store was unavailable are back within about two seconds. At any other time a missing
 	// registration announces the end of the worker.
-	returnGrace = 2 * time.Second
+	storeReturnGrace = 2 * time.Second
 
 	// unlistedGrace is how long a worker without a registration that does not answer is kept:
 	// storeReturnGrace and the time of one poll.
@@ -43,7 +43,7 @@
 	phaseStarting phase = iota
 
 	// phaseUncertain means that the start got no answer. It may take effect later and is repeated.
-	phaseDoubtful
+	phaseUncertain
 
 	// phaseRunning means that the worker accepted the start or listed the run.
 	phaseRunning
@@ -75,15 +75,15 @@
 	unsized bool
 
 	// startedAt is when the start was first ordered, or when the run was first seen.
-	began time.Time
+	startedAt time.Time
 
 	// answeredAt is when the worker answered the last order for the run.
-	settled time.Time
+	answeredAt time.Time
 
 	// found says that the run was seen at its worker and not ordered by this owner. listedAt is
 	// when the last poll was sent whose answer listed the run.
-	found  bool
-	listed time.Time
+	found    bool
+	listedAt time.Time
 
 	// tries counts orders of the current kind without an answer. unanswered says that an order to
 	// start the run got no answer, so that the run may begin until a stop is answered.
@@ -93,13 +93,13 @@
 	// uncertainAt is when the last order to start the run got no answer, or an answer that does not
 	// tell whether the run began. notStarted says that a later poll showed that the run had not
 	// begun.
-	doubted  time.Time
-	notThere bool
+	uncertainAt time.Time
+	notStarted  bool
 
 	// nextStopAt is when a failed stop may be ordered again; stopOrderedAt is when the last stop
 	// was ordered.
-	stopAt  time.Time
-	ordered time.Time
+	nextStopAt    time.Time
+	stopOrderedAt time.Time
 
 	// call is the number of the order for the run that is under way; 0 for none.
 	call int64
@@ -109,15 +109,15 @@
 
 	// suspect says that a worker had crashed under the task when this run began. isolated says that
 	// no other task may join the run on its worker.
-	suspect bool
-	alone   bool
+	suspect  bool
+	isolated bool
 
 	// reason is the reason for stopping the run, for the log. stopWithinBudget says that the run is
 	// stopped only while its step may miss the task. heldBackLogged says that it was logged that
 	// the step may not.
-	reason   string
-	spared   bool
-	heldBack bool
+	reason           string
+	stopWithinBudget bool
+	heldBackLogged   bool
 
 	// figure is the last figure that the worker reported of the run, see outside.RunningTask.
 	// percent is the reported share of full work.
@@ -136,12 +136,12 @@
 	reg outside.Registration
 
 	// drainEndsAt is the earliest end of a draining worker; zero for any other worker.
-	drainEnds time.Time
+	drainEndsAt time.Time
 
 	// listed says that the newest list contains the worker. unlistedAt is since when no list has
 	// contained it.
-	listed   bool
-	unlisted time.Time
+	listed     bool
+	unlistedAt time.Time
 
 	// recorded says that a row of this or an earlier owner names the worker as one that may have
 	// runs.
@@ -150,11 +150,11 @@
 	// regainedAt is when the worker last answered after a row of this owner may have named it as
 	// silent. Nothing is started or renewed there until a transaction that was sent later has been
 	// applied.
-	regained time.Time
+	regainedAt time.Time
 
 	// contacted says that the worker answered under this owner's fence, so that no order of an
 	// earlier owner can still take effect there.
-	known bool
+	contacted bool
 
 	// born is when the incarnation began, as its first answer reported. It is zero before that, and
 	// for workers that don't report it.
@@ -163,15 +163,15 @@
 	// unobservedUntil is when the leases have lapsed of everything that earlier owners started on
 	// the worker, even if the worker can't be reached. unobservedTasks holds the tasks that may run
 	// there until then; nil means any task that an earlier owner knew of.
-	blindUntil time.Time
-	mayRun     map[job.TaskID]struct{}
+	unobservedUntil time.Time
+	unobservedTasks map[job.TaskID]struct{}
 
 	// clockAt is the worker's clock as it was read at the time clockReadAt.
-	clockAt time.Duration
-	heard   time.Time
+	clockAt     time.Duration
+	clockReadAt time.Time
 
 	// leaseEnd is when the last lease sent to the worker has certainly lapsed.
-	until time.Time
+	leaseEnd time.Time
 
 	// runs holds the runs that may exist on the worker, by task.
 	runs map[job.TaskID]*run
@@ -197,30 +197,30 @@
 
 	// pollCall is the number of the poll under way, 0 for none. nextPollAt is when the next poll is
 	// due.
-	look   int64
-	holdAt time.Time
+	pollCall   int64
+	nextPollAt time.Time
 
 	// silentSince is when the first of the failures below was seen.
 	silentSince time.Time
 
 	// suspects counts the runs of tasks under which a worker has crashed, isolated those that no
 	// other task may join. reservedUntil is until when the worker is reserved for an isolated task.
-	suspects  int
-	alone     int
-	keptUntil time.Time
+	suspects      int
+	isolated      int
+	reservedUntil time.Time
 
 	// failures counts the unanswered polls since the last answered one. silentPollAt is when the
 	// newest poll was sent whose failure was prompt enough to count against the worker, see
 	// promptFailureTimeout.
-	failures int
-	silentAt time.Time
+	failures     int
+	silentPollAt time.Time
 
 	// inHandover says that a heartbeat row may name the worker as silent.
-	named bool
+	inHandover bool
 
 	// uncertainAt is when an order got no answer. Only the answer to a poll that was sent later
 	// clears it.
-	doubted time.Time
+	uncertainAt time.Time
 
 	// avoidUntil is until when no task is placed on the worker.
 	avoidUntil time.Time
@@ -230,10 +230,10 @@
 	closedUntil time.Time
 
 	// sharedByFillers says that fillers run beside serving tasks.
-	shared bool
+	sharedByFillers bool
 
 	// recentFailures counts runs that failed, less runs that ended well; it is never negative.
-	blamed int
+	recentFailures int
 }
 
 // incarnation returns the worker's incarnation as its own answers tell it, or as its registration
@@ -258,14 +258,14 @@
 // leaseDeadline returns when a lease that is sent now ends by the worker's clock, and extends
 // leaseEnd to the time at which that lease has certainly lapsed. It returns 0 if the worker's clock
 // is not known.
-func (w *workerState) deadline(now time.Time, lease time.Duration) time.Duration {
-	if w.heard.IsZero() {
+func (w *workerState) leaseDeadline(now time.Time, lease time.Duration) time.Duration {
+	if w.clockReadAt.IsZero() {
 		return 0
 	}
-	leaseEnd := w.clockAt + now.Sub(w.heard) + lease
-	lapsed := w.heard.Add(time.Duration(float64(leaseEnd-w.clockAt) * (1 + clockDrift))).Add(leaseSlack)
-	if lapsed.After(w.until) {
-		w.until = lapsed
+	leaseEnd := w.clockAt + now.Sub(w.clockReadAt) + lease
+	lapsed := w.clockReadAt.Add(time.Duration(float64(leaseEnd-w.clockAt) * (1 + maxClockDrift))).Add(leaseSlack)
+	if lapsed.After(w.leaseEnd) {
+		w.leaseEnd = lapsed
 	}
 	return leaseEnd
 }
@@ -276,15 +276,15 @@
 }
 
 // updateClock records the worker's clock from an answer.
-func (w *workerState) hear(clock time.Duration, now time.Time) {
+func (w *workerState) updateClock(clock time.Duration, now time.Time) {
 	if clock > 0 {
 		w.clockAt = clock
-		w.heard = now
+		w.clockReadAt = now
 	}
 }
 
 // countRuns returns how many runs of a task's step the worker has.
-func (w *workerState) onStep(id job.TaskID) int {
+func (w *workerState) countRuns(id job.TaskID) int {
 	count := 0
 	for other := range w.runs {
 		if other.Job == id.Job && other.Occurrence == id.Occurrence && other.Step == id.Step {
@@ -295,19 +295,19 @@
 }
 
 // eligible reports whether tasks may be placed on the worker at all.
-func (s *Shard) takes(w *workerState, now time.Time) bool {
+func (s *Shard) eligible(w *workerState, now time.Time) bool {
 	return !now.Before(w.closedUntil) && s.isUsable(w, now)
 }
 
 // isUsable reports whether a worker can run tasks, whether or not it is closed.
 func (s *Shard) isUsable(w *workerState, now time.Time) bool {
-	if !w.recorded || s.isNamed(w) || w.unsized > 0 || s.isEvacuated(w) {
+	if !w.recorded || s.isInHandover(w) || w.unsized > 0 || s.isEvacuated(w) {
 		return false
 	}
-	if !w.known || w.reg.Draining || w.failures > 0 || !w.doubted.IsZero() || now.Before(w.avoidUntil) {
+	if !w.contacted || w.reg.Draining || w.failures > 0 || !w.uncertainAt.IsZero() || now.Before(w.avoidUntil) {
 		return false
 	}
-	return w.listed || now.Sub(s.storeRegained) < returnGrace
+	return w.listed || now.Sub(s.storeRegainedAt) < storeReturnGrace
 }
 
 // isEvacuated reports whether nothing may start on a worker because the operator has evacuated its
@@ -317,7 +317,7 @@
 }
 
 // updateUsable collects the workers that can run tasks.
-func (s *Shard) findUsable(now time.Time) {
+func (s *Shard) updateUsable(now time.Time) {
 	s.usable = s.usable[:0]
 	for _, w := range s.workers {
 		if s.isUsable(w, now) {
@@ -330,63 +330,63 @@
 // available again; zero if it never was unavailable. A worker whose registration is missing is
 // polled until its lease has lapsed.
 func (s *Shard) SetWorkers(list []outside.Registration, regained, now time.Time) {
-	s.storeRegained = regained
+	s.storeRegainedAt = regained
 	seen := make(map[string]bool, len(list))
 	for _, reg := range list {
-		if s.isGone(reg.Incarnation()) || reg.Service != s.name {
+		if s.hasEnded(reg.Incarnation()) || reg.Service != s.name {
 			continue
 		}
 		seen[reg.ID] = true
 		w, found := s.workers[reg.ID]
 		if !found {
-			w = s.newWorker(reg.ID, now)
-			s.opts.Report("worker listed", "worker", reg.Incarnation().String(), "labels", reg.Labels, "draining", reg.Draining)
+			w = s.addWorker(reg.ID, now)
+			s.opts.LogEvent("worker listed", "worker", reg.Incarnation().String(), "labels", reg.Labels, "draining", reg.Draining)
 		}
 		if found && reg.Draining && !w.reg.Draining {
-			s.opts.Report("worker drains", "worker", reg.ID, "runs", len(w.runs), "remaining_ms", reg.Remaining.Milliseconds())
+			s.opts.LogEvent("worker drains", "worker", reg.ID, "runs", len(w.runs), "remaining_ms", reg.Remaining.Milliseconds())
 		}
-		if found && w.isOther(reg.Born) && !reg.Born.Equal(w.reg.Born) {
+		if found && w.isOtherIncarnation(reg.Born) && !reg.Born.Equal(w.reg.Born) {
 			// The row may be newer than the last answer: nothing is placed on the worker before the
 			// next answer.
-			s.opts.Report("registration of another incarnation", "worker", reg.Incarnation().String(), "answered", w.incarnation().String())
-			w.doubted = now
-			w.holdAt = now
+			s.opts.LogEvent("registration of another incarnation", "worker", reg.Incarnation().String(), "answered", w.incarnation().String())
+			w.uncertainAt = now
+			w.nextPollAt = now
 		}
 		w.reg = reg
 		w.listed = true
-		w.noteDrain(now)
+		w.updateDrainEnd(now)
 	}
 	for id, w := range s.workers {
 		if !seen[id] && w.listed {
 			w.listed = false
-			w.unlisted = now
-			s.opts.Report("worker unlisted", "worker", id, "runs", len(w.runs))
+			w.unlistedAt = now
+			s.opts.LogEvent("worker unlisted", "worker", id, "runs", len(w.runs))
 		}
 	}
-	s.listedOnce = true
-	taken := s.takenUnseen
-	s.takenUnseen = nil
-	s.End(taken, now)
+	s.registrationsRead = true
+	taken := s.removedUnlisted
+	s.removedUnlisted = nil
+	s.RemoveTaken(taken, now)
 }
 
 // updateDrainEnd updates the earliest end of a draining worker. The earliest time that any row has
 // implied counts, because a worker need not rewrite its row as time passes.
-func (w *workerState) noteDrain(now time.Time) {
-	if !w.drains() {
-		w.drainEnds = time.Time{}
+func (w *workerState) updateDrainEnd(now time.Time) {
+	if !w.isDraining() {
+		w.drainEndsAt = time.Time{}
 		return
 	}
-	if ends := now.Add(w.reg.Remaining); w.drainEnds.IsZero() || ends.Before(w.drainEnds) {
-		w.drainEnds = ends
+	if ends := now.Add(w.reg.Remaining); w.drainEndsAt.IsZero() || ends.Before(w.drainEndsAt) {
+		w.drainEndsAt = ends
 	}
 }
 
 // addWorker adds a worker that this owner has not polled. If no earlier owner has recorded the
 // worker, it has no runs of the shard.
-func (s *Shard) newWorker(id string, now time.Time) *workerState {
+func (s *Shard) addWorker(id string, now time.Time) *workerState {
 	w := &workerState{
-		runs:   make(map[job.TaskID]*run),
-		holdAt: now,
+		runs:       make(map[job.TaskID]*run),
+		nextPollAt: now,
 	}
 	s.workers[id] = w
 	return w
--- a/shard/world_calls_test.go
+++ b/shard/world_calls_test.go
@@ -8,28 +8,28 @@
 )
 
 var (
-	errReborn = &outside.GoneError{
+	errReplaced = &outside.GoneError{
 		ID: "test",
 	}
-	errSilent = &outside.UncertainError{
+	errNoAnswer = &outside.UncertainError{
 		Call: "test",
 	}
 )
 
 // answerFunc makes an owner handle an answer after a time.
-type answerer func(after time.Duration, take func())
+type answerFunc func(after time.Duration, take func())
 
 // executeOrders executes an owner's orders. Answers arrive one tick later, unless a fault delays
 // them. Answers to an owner that is no longer active are dropped.
-func (w *world) carryOut(core *shard.Shard, orders shard.Orders) {
+func (w *world) executeOrders(core *shard.Shard, orders shard.Orders) {
 	answer := func(d time.Duration, do func()) {
 		w.after(d, func() {
-			if w.acts(core) {
+			if w.isActive(core) {
 				do()
 			}
 		})
 	}
-	w.asks = append(w.asks, orders.Asks...)
+	w.ticketRequests = append(w.ticketRequests, orders.TicketRequests...)
 	for _, l := range orders.Lookups {
 		w.lookUp(core, l, answer)
 	}
@@ -37,119 +37,119 @@
 		w.workers[p.Worker.ID].shares[p.Task] = p.Percent
 		answer(tick, func() { core.Paced(p, nil) })
 	}
-	for _, h := range orders.Holds {
-		w.carryOutHold(core, h, answer)
+	for _, h := range orders.Polls {
+		w.executePoll(core, h, answer)
 	}
 	for _, s := range orders.Starts {
-		w.carryOutStart(core, s, answer)
+		w.executeStart(core, s, answer)
 	}
 	for _, s := range orders.Stops {
-		w.carryOutStop(core, s, answer)
+		w.executeStop(core, s, answer)
 	}
 }
 
 // executePoll makes a worker answer a poll.
-func (w *world) carryOutHold(core *shard.Shard, h shard.Hold, answer answerer) {
+func (w *world) executePoll(core *shard.Shard, h shard.Poll, answer answerFunc) {
 	f := w.workers[h.Worker.ID]
-	w.lastLook[h.Worker.ID] = h.Call
+	w.lastPoll[h.Worker.ID] = h.Call
 	sent := w.now
 	if h.Renewal.Acknowledged > 0 {
-		w.acknowledging++
+		w.ackingPolls++
 	}
-	if w.loseLooks > 0 && w.reaches(core, f) {
-		w.after(w.loseLooks, func() {
-			if !f.down && !f.cut {
-				w.holdAt(f, h.Renewal)
+	if w.pollDelay > 0 && w.reaches(core, f) {
+		w.after(w.pollDelay, func() {
+			if !f.down && !f.partitioned {
+				w.pollAt(f, h.Renewal)
 			}
 		})
-		answer(w.lookFails, func() { core.Held(h, sent, w.now, outside.Glance{}, errSilent) })
+		answer(w.pollTimeout, func() { core.Polled(h, sent, w.now, outside.WorkerStatus{}, errNoAnswer) })
 		return
 	}
-	if f.reborn && !f.cut {
-		answer(tick, func() { core.Held(h, sent, w.now, outside.Glance{}, errReborn) })
+	if f.replaced && !f.partitioned {
+		answer(tick, func() { core.Polled(h, sent, w.now, outside.WorkerStatus{}, errReplaced) })
 		return
 	}
-	if f.crashed && !f.cut {
-		answer(tick, func() { core.Held(h, sent, w.now, outside.Glance{}, errSilent) })
+	if f.crashed && !f.partitioned {
+		answer(tick, func() { core.Polled(h, sent, w.now, outside.WorkerStatus{}, errNoAnswer) })
 		return
 	}
 	if !w.reaches(core, f) {
-		answer(w.lookFails, func() { core.Held(h, sent, w.now, outside.Glance{}, errSilent) })
+		answer(w.pollTimeout, func() { core.Polled(h, sent, w.now, outside.WorkerStatus{}, errNoAnswer) })
 		return
 	}
 	if h.Renewal.Fence < f.fence {
 		answer(tick, func() {
-			core.Held(h, sent, w.now, outside.Glance{}, &outside.WorkerRefusedError{
+			core.Polled(h, sent, w.now, outside.WorkerStatus{}, &outside.WorkerRefusedError{
 				Reason: outside.RefusedFence,
 			})
 		})
 		return
 	}
-	queued := w.wire.send(lookBytes, w.now)
-	if queued > w.lookFails {
-		w.after(queued, func() { f.renew(w, h.Renewal.Fence, h.Renewal.Until) })
+	queued := w.wire.send(pollBytes, w.now)
+	if queued > w.pollTimeout {
+		w.after(queued, func() { f.renewLease(w, h.Renewal.Fence, h.Renewal.Until) })
 		w.wire.unanswered++
-		answer(w.lookFails, func() { core.Held(h, sent, w.now, outside.Glance{}, errSilent) })
+		answer(w.pollTimeout, func() { core.Polled(h, sent, w.now, outside.WorkerStatus{}, errNoAnswer) })
 		return
 	}
-	w.holdAt(f, h.Renewal)
+	w.pollAt(f, h.Renewal)
 	if w.lateAnswers > 0 {
 		glance := f.glance(w)
-		answer(w.lateAnswers, func() { core.Held(w.nameLook(h), sent, w.now, glance, nil) })
+		answer(w.lateAnswers, func() { core.Polled(w.answeredPoll(h), sent, w.now, glance, nil) })
 		return
 	}
-	incarnation := f.lives
+	incarnation := f.restarts
 	answer(queued+tick, func() {
-		if !w.reaches(core, f) || f.lives != incarnation {
-			core.Held(h, sent, w.now, outside.Glance{}, errSilent)
+		if !w.reaches(core, f) || f.restarts != incarnation {
+			core.Polled(h, sent, w.now, outside.WorkerStatus{}, errNoAnswer)
 			return
 		}
-		core.Held(w.nameLook(h), sent, w.now, f.glance(w), nil)
+		core.Polled(w.answeredPoll(h), sent, w.now, f.glance(w), nil)
 	})
 }
 
 // executeStart makes a worker answer an order to start a task.
-func (w *world) carryOutStart(core *shard.Shard, s shard.Start, answer answerer) {
+func (w *world) executeStart(core *shard.Shard, s shard.Start, answer answerFunc) {
 	f := w.workers[s.Worker.ID]
-	if w.refuseStarts != nil {
-		answer(w.refuseAfter, func() { core.Started(s, w.now, 0, w.refuseStarts) })
+	if w.startError != nil {
+		answer(w.startErrorDelay, func() { core.Started(s, w.now, 0, w.startError) })
 		return
 	}
-	if w.lose > 0 {
+	if w.startDelay > 0 {
 		sent := w.now
-		w.after(w.lose, func() {
+		w.after(w.startDelay, func() {
 			// A delayed start that reaches an incarnation before any owner does is left out: no
 			// owner can prevent it.
-			if !f.cut && f.fence > 0 {
+			if !f.partitioned && f.fence > 0 {
 				_ = w.startAt(f, s.Order, sent)
 			}
 		})
-		answer(700*time.Millisecond, func() { core.Started(s, w.now, 0, errSilent) })
+		answer(700*time.Millisecond, func() { core.Started(s, w.now, 0, errNoAnswer) })
 		return
 	}
-	if f.reborn && !f.cut {
-		answer(tick, func() { core.Started(s, w.now, 0, errReborn) })
+	if f.replaced && !f.partitioned {
+		answer(tick, func() { core.Started(s, w.now, 0, errReplaced) })
 		return
 	}
 	if !w.reaches(core, f) {
-		answer(700*time.Millisecond, func() { core.Started(s, w.now, 0, errSilent) })
+		answer(700*time.Millisecond, func() { core.Started(s, w.now, 0, errNoAnswer) })
 		return
 	}
 	queued := w.wire.send(startBytes+len(s.Order.Text), w.now)
-	if queued > startFails {
+	if queued > startTimeout {
 		sent := w.now
 		w.after(queued, func() { _ = w.startAt(f, s.Order, sent) })
 		w.wire.unanswered++
-		answer(startFails, func() { core.Started(s, w.now, 0, errSilent) })
+		answer(startTimeout, func() { core.Started(s, w.now, 0, errNoAnswer) })
 		return
 	}
 	err := w.startAt(f, s.Order, w.now)
 	zero := f.clockZero
-	answer(queued+w.startAnswers, func() { core.Started(s, w.now, w.now.Sub(zero), err) })
+	answer(queued+w.startAnswerDelay, func() { core.Started(s, w.now, w.now.Sub(zero), err) })
 }
 
 // executeStop makes a worker answer an order to stop a run.
-func (w *world) carryOutStop(core *shard.Shard, s shard.Stop, answer answerer) {
+func (w *world) executeStop(core *shard.Shard, s shard.Stop, answer answerFunc) {
 	f := w.workers[s.Worker.ID]
 	w.stops++
 	if f.unhealthy {
@@ -160,17 +160,17 @@
 		})
 		return
 	}
-	unanswered := w.loseStops > 0 && w.stops%w.loseEach == 0
+	unanswered := w.stopDelay > 0 && w.stops%w.unansweredStopEvery == 0
 	if !w.reaches(core, f) || unanswered {
 		if unanswered {
-			w.heldUp[uncalled(s)] = true
-			w.after(w.loseStops, func() {
-				if !f.cut {
+			w.delayedStops[withoutCall(s)] = true
+			w.after(w.stopDelay, func() {
+				if !f.partitioned {
 					_ = w.stopAt(f, s)
 				}
 			})
 		}
-		answer(700*time.Millisecond, func() { core.Stopped(s, w.now, 0, errSilent) })
+		answer(700*time.Millisecond, func() { core.Stopped(s, w.now, 0, errNoAnswer) })
 		return
 	}
 	err := w.stopAt(f, s)
@@ -179,9 +179,9 @@
 }
 
 // lookUp answers a lookup with the rows that are stored at the time of the order.
-func (w *world) lookUp(core *shard.Shard, l shard.Lookup, answer answerer) {
+func (w *world) lookUp(core *shard.Shard, l shard.Lookup, answer answerFunc) {
 	if w.storeDown || w.lookupsFail {
-		answer(tick, func() { core.LookedUp(l, errSilent, w.now) })
+		answer(tick, func() { core.LookedUp(l, errNoAnswer, w.now) })
 		return
 	}
 	var records []shard.Record
@@ -191,7 +191,7 @@
 		}
 	}
 	version := w.version
-	answer(max(tick, w.lookupsLate), func() {
+	answer(max(tick, w.lookupDelay), func() {
 		for _, record := range records {
 			core.Accept(record, version, false, w.now)
 		}
@@ -200,19 +200,19 @@
 }
 
 // answeredPoll returns the poll that an answer belongs to. With mismatchPolls, it is the last one.
-func (w *world) nameLook(h shard.Hold) shard.Hold {
-	if w.unnamed {
-		h.Call = w.lastLook[h.Worker.ID]
+func (w *world) answeredPoll(h shard.Poll) shard.Poll {
+	if w.mismatchPolls {
+		h.Call = w.lastPoll[h.Worker.ID]
 	}
 	return h
 }
 
 // pollAt executes a poll at a worker, which ignores one with an outdated fencing token.
-func (w *world) holdAt(f *fakeWorker, r outside.Renewal) {
+func (w *world) pollAt(f *fakeWorker, r outside.Renewal) {
 	if r.Fence < f.fence {
 		return
 	}
-	f.renew(w, r.Fence, r.Until)
+	f.renewLease(w, r.Fence, r.Until)
 	w.acknowledge(f, r.Acknowledged)
 }
 
@@ -220,7 +220,7 @@
 // a newer one. Stops that were delayed are exempt from the rule on unavailable tasks.
 func (w *world) stopAt(f *fakeWorker, s shard.Stop) error {
 	if f.down {
-		return errSilent
+		return errNoAnswer
 	}
 	if s.Fence < f.fence {
 		return &outside.WorkerRefusedError{
@@ -229,23 +229,23 @@
 		}
 	}
 	f.fence = s.Fence
-	f.top[s.Task] = max(f.top[s.Task], s.Run)
-	if f.deaf > 0 {
-		f.deaf--
+	f.highestRun[s.Task] = max(f.highestRun[s.Task], s.Run)
+	if f.ignoreStops > 0 {
+		f.ignoreStops--
 		return nil
 	}
 	if r, found := f.runs[s.Task]; found && r.number <= s.Run {
-		if w.judgeRepeated || !w.heldUp[uncalled(s)] {
-			w.judgeStop(f, s.Task, r)
+		if w.checkRetriedStops || !w.delayedStops[withoutCall(s)] {
+			w.checkStop(f, s.Task, r)
 		}
-		w.judgeOrdered(f, s.Task, r, "a stop", w.heldUp[uncalled(s)])
+		w.checkOrderedEnd(f, s.Task, r, "a stop", w.delayedStops[withoutCall(s)])
 		r.stopAt = w.now.Add(200 * time.Millisecond)
 	}
 	return nil
 }
 
 // withoutCall returns a stop without what tells it from its retries.
-func uncalled(s shard.Stop) shard.Stop {
+func withoutCall(s shard.Stop) shard.Stop {
 	s.Call = 0
 	s.Fence = 0
 	return s
@@ -255,8 +255,8 @@
 func (w *world) acknowledge(f *fakeWorker, last int64) {
 	for len(f.ends) > 0 && f.ends[0].Number <= last {
 		if f.ends[0].Kind == outside.EndDone {
-			w.judgeNoted(f, f.ends[0])
-			w.noted[f.ends[0].Task] = w.now
+			w.checkAcked(f, f.ends[0])
+			w.acked[f.ends[0].Task] = w.now
 		}
 		f.ends = f.ends[1:]
 	}
@@ -272,7 +272,7 @@
 		}
 	}
 	if f.down {
-		return errSilent
+		return errNoAnswer
 	}
 	if o.Fence < f.fence {
 		return refuse(outside.RefusedFence)
@@ -284,16 +284,16 @@
 	if r, found := f.runs[o.Task]; found && r.number == o.Run {
 		return nil
 	}
-	if o.Run <= f.top[o.Task] {
+	if o.Run <= f.highestRun[o.Task] {
 		return refuse(outside.RefusedOld)
 	}
-	f.renew(w, o.Fence, o.Until)
+	f.renewLease(w, o.Fence, o.Until)
 	if w.turned[o.Task.Job] {
-		w.fault("%s starts, but the last answer for its job was a refusal", o.Task)
+		w.addViolation("%s starts, but the last answer for its job was a refusal", o.Task)
 	}
 	step := w.stepOf(o.Task)
-	w.judge(f, o.Task, step, sent)
-	f.top[o.Task] = o.Run
+	w.checkStart(f, o.Task, step, sent)
+	f.highestRun[o.Task] = o.Run
 	if o.Ticket != "" {
 		f.tickets++
 	}
@@ -308,6 +308,6 @@
 		workLeft: step.Estimate,
 		late:     sent.Before(w.now),
 	}
-	w.judgeQuota(o.Task)
+	w.checkQuota(o.Task)
 	return nil
 }
--- a/shard/world_owner_test.go
+++ b/shard/world_owner_test.go
@@ -17,22 +17,22 @@
 
 	// reachable is the only worker that the zombie reaches, partitioned or not; nil means
 	// all workers that are not partitioned.
-	beside *fakeWorker
+	reachable *fakeWorker
 }
 
 // runZombies executes the orders of previous owners that are still active.
-func (w *world) actOn() {
+func (w *world) runZombies() {
 	w.zombies = slices.DeleteFunc(w.zombies, func(z zombie) bool {
 		return w.now.After(z.until) || z.core.Deposed()
 	})
 	for _, z := range w.zombies {
 		orders, _ := z.core.Next(w.now)
-		w.carryOut(z.core, orders)
+		w.executeOrders(z.core, orders)
 	}
 }
 
 // isActive reports whether an owner is the current one or a zombie.
-func (w *world) acts(core *shard.Shard) bool {
+func (w *world) isActive(core *shard.Shard) bool {
 	if core == w.core {
 		return !w.ownerless
 	}
@@ -45,11 +45,11 @@
 		return false
 	}
 	for _, z := range w.zombies {
-		if z.core == core && z.beside != nil {
-			return f == z.beside
+		if z.core == core && z.reachable != nil {
+			return f == z.reachable
 		}
 	}
-	return !f.cut
+	return !f.partitioned
 }
 
 // takeOver starts a new owner from the stored rows, as after a crash of the previous owner.
@@ -66,20 +66,20 @@
 
 // takeOverFromActive starts a new owner while the previous one stays active for the given time
 // without access to the store.
-func (w *world) takeOverFromLiving(activeFor time.Duration) {
-	w.takeOverFromBeside(activeFor, nil)
+func (w *world) takeOverFromActive(activeFor time.Duration) {
+	w.takeOverFromPartitioned(activeFor, nil)
 }
 
 // takeOverFromPartitioned is takeOverFromActive with a network partition: the previous owner
 // reaches only the worker f, and other owners don't reach f. Without f, there is no partition.
-func (w *world) takeOverFromBeside(activeFor time.Duration, f *fakeWorker) {
+func (w *world) takeOverFromPartitioned(activeFor time.Duration, f *fakeWorker) {
 	if f != nil {
-		f.cut = true
+		f.partitioned = true
 	}
 	w.zombies = append(w.zombies, zombie{
-		core:   w.core,
-		until:  w.now.Add(activeFor),
-		beside: f,
+		core:      w.core,
+		until:     w.now.Add(activeFor),
+		reachable: f,
 	})
 	w.takeOverAfter(activeFor)
 }
@@ -90,29 +90,29 @@
 func (w *world) release(after time.Duration) {
 	writes := !w.storeDown && !w.frozen
 	if writes {
-		w.handover = w.lastOrders()
+		w.handover = w.writeAndHandOver()
 	}
 	for end := w.now.Add(after); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		w.deliver()
-		w.work()
-		w.actOn()
+		w.advanceWorkers()
+		w.runZombies()
 	}
 	w.takeOver()
 }
 
 // writeAndHandOver writes every pending row, and returns the handover that the owner writes with
 // the last of them.
-func (w *world) lastOrders() shard.Handover {
+func (w *world) writeAndHandOver() shard.Handover {
 	for {
 		if w.batch == nil {
-			b, found := w.core.TakeBatch(testEntries, w.now)
+			b, found := w.core.NextBatch(testBatchEntries, w.now)
 			if !found {
-				return w.core.HandOver(w.now, true, testRowBytes)
+				return w.core.BuildHandover(w.now, true, testHandoverBytes)
 			}
 			w.batch = &b
 		}
-		w.apply()
+		w.applyBatch()
 	}
 }
 
@@ -128,24 +128,24 @@
 	}
 	epoch := w.epoch
 	w.core = shard.New("s", w.epoch, w.version, w.now, shard.Options{
-		Lease:     testLease,
-		LeaseMost: testLeaseMost,
-		BusyWait:  200 * time.Millisecond,
-		IdleWait:  200 * time.Millisecond,
-		StopTask:  300 * time.Millisecond,
-		ShownFor:  time.Hour,
-		BlindFor:  unobserved,
-		Starts:    w.starts,
-		Evacuated: w.isEvacuated,
-		Quota:     w.quotaOf(w.epoch),
-		Policy:    func(string) (catalog.Policy, bool) { return catalog.Policy{}, false },
-		Report: func(event string, fields ...any) {
-			if w.report != nil {
-				w.report(event, fields...)
+		Lease:         testLease,
+		LeaseLimit:    testMaxLease,
+		BusyPollWait:  200 * time.Millisecond,
+		IdlePollWait:  200 * time.Millisecond,
+		StopTimeout:   300 * time.Millisecond,
+		JobRetention:  time.Hour,
+		UnobservedFor: unobserved,
+		Starts:        w.starts,
+		Evacuated:     w.isEvacuated,
+		Quota:         w.quotaOf(w.epoch),
+		Policy:        func(string) (catalog.Policy, bool) { return catalog.Policy{}, false },
+		LogEvent: func(event string, fields ...any) {
+			if w.logEvent != nil {
+				w.logEvent(event, fields...)
 			}
 		},
-		Refused: func(reason string) { w.refusedFor[reason]++ },
-		Show: func(id string, state job.State) {
+		CountRefusal: func(reason string) { w.waitReasons[reason]++ },
+		PublishState: func(id string, state job.State) {
 			if w.epoch == epoch {
 				w.show(id, state)
 			}
@@ -153,15 +153,15 @@
 	})
 	// The claim's row passes on the last heartbeat's handover, and how long the previous
 	// owner may still be active.
-	if w.waitless {
-		w.handover.Blind = 0
+	if w.dropHandoverWait {
+		w.handover.UnobservedFor = 0
 	}
-	w.core.Inherit(w.handover, w.now)
-	w.handover.Blind = max(w.handover.Blind, unobserved)
+	w.core.ApplyHandover(w.handover, w.now)
+	w.handover.UnobservedFor = max(w.handover.UnobservedFor, unobserved)
 	w.standbyBatch = nil
 	w.standbyRead = w.epoch == 1
 	if !w.standbyRead {
-		w.core.AwaitStandby()
+		w.core.MarkStandbyUnread()
 	}
 	w.restore()
 }
@@ -169,13 +169,13 @@
 // restore makes a new owner read the stored rows.
 func (w *world) restore() {
 	for id := range w.used {
-		w.core.InheritWorker(outside.WorkerRef{
+		w.core.RestoreWorker(outside.WorkerRef{
 			ID:      id,
 			Address: w.workers[id].reg.Address,
 		}, w.now)
 	}
-	w.core.InheritGiven(w.giving, !w.givingUnread, w.now)
-	w.core.End(w.takenFirst, w.now)
+	w.core.RestoreReleased(w.released, !w.releasedUnread, w.now)
+	w.core.RemoveTaken(w.takenBeforeListing, w.now)
 	for id, p := range w.progress {
 		if p.State.Final() {
 			w.core.RestoreEnded(id, p)
@@ -187,16 +187,16 @@
 	for id, r := range w.records {
 		var known *shard.Progress
 		if p, found := w.progress[id]; found {
-			if w.unmarked {
+			if w.hideCrashes {
 				p.Crashed = nil
 			}
-			if w.untried {
-				p.Trials = nil
+			if w.hidePossibleCrashes {
+				p.PossibleCrashes = nil
 			}
 			known = &p
 		}
 		if err := w.core.Restore(r, known, w.now); err != nil {
-			w.fault("restore %s: %v", id, err)
+			w.addViolation("restore %s: %v", id, err)
 		}
 	}
 	for id := range w.cancelRows {
--- a/shard/world_rows_test.go
+++ b/shard/world_rows_test.go
@@ -7,7 +7,7 @@
 // writeStandby makes the owner read the standby partition once and write to it while the store
 // is down. Once the store is back, it removes redundant rows from the standby partition.
 func (w *world) writeStandby() {
-	if w.standbyAway {
+	if w.standbyDown {
 		return
 	}
 	if !w.standbyRead {
@@ -16,8 +16,8 @@
 		for _, record := range w.standbyRecords {
 			records = append(records, record)
 		}
-		if err := w.core.ReadStandby(records, w.standbyEnded, w.progress, w.now); err != nil {
-			w.fault("restore standby partition: %v", err)
+		if err := w.core.RestoreStandby(records, w.standbyEnded, w.progress, w.now); err != nil {
+			w.addViolation("restore standby partition: %v", err)
 		}
 	}
 	switch {
@@ -25,12 +25,12 @@
 		w.applyStandby(*w.standbyBatch)
 		w.standbyBatch = nil
 	case w.standbyBatch == nil && w.standbyOn && w.storeDown:
-		if b := w.core.TakeStandby(testEntries); !b.Empty() {
+		if b := w.core.NextStandbyBatch(testBatchEntries); !b.Empty() {
 			w.standbyBatch = &b
 			w.standbyAt = w.now
 		}
 	case !w.storeDown:
-		ids := w.core.Settled(testEntries)
+		ids := w.core.RedundantStandby(testBatchEntries)
 		for _, id := range ids {
 			delete(w.standbyRecords, id)
 			delete(w.standbyEnded, id)
@@ -39,10 +39,10 @@
 	}
 }
 
-func (w *world) applyStandby(b shard.Standby) {
+func (w *world) applyStandby(b shard.StandbyBatch) {
 	for _, record := range b.Records {
 		w.standbyRecords[record.ID] = record
-		w.stood[record.ID] = true
+		w.stored[record.ID] = true
 	}
 	for _, ended := range b.Ended {
 		w.standbyEnded[ended.ID] = ended.Progress
@@ -53,7 +53,7 @@
 // write applies a batch two ticks after it was taken, and takes the next one.
 func (w *world) write() {
 	if w.batch != nil && !w.storeDown && w.now.Sub(w.batchAt) >= 2*tick {
-		w.apply()
+		w.applyBatch()
 	}
 	if !w.storeDown && !w.frozen {
 		rows := w.core.WorkerRows(8)
@@ -63,11 +63,11 @@
 		for _, id := range rows.Ended {
 			delete(w.used, id)
 		}
-		w.handover = w.core.HandOver(w.now, false, testRowBytes)
+		w.handover = w.core.BuildHandover(w.now, false, testHandoverBytes)
 		w.core.Confirm(rows, w.now)
 	}
 	if w.batch == nil {
-		if b, found := w.core.TakeBatch(testEntries, w.now); found {
+		if b, found := w.core.NextBatch(testBatchEntries, w.now); found {
 			w.batch = &b
 			w.batchAt = w.now
 		}
@@ -75,7 +75,7 @@
 }
 
 // applyBatch writes the batch in flight, or undoes it if one of its jobs is stored already.
-func (w *world) apply() {
+func (w *world) applyBatch() {
 	b := *w.batch
 	w.batch = nil
 	if w.undo(b) {
@@ -84,26 +84,26 @@
 	for _, record := range b.Records {
 		w.store(record)
 	}
-	for _, id := range b.Lifted {
+	for _, id := range b.ExpiredRefusals {
 		delete(w.refused, id)
 	}
 	for _, one := range b.Refused {
 		w.refused[one.ID] = one.Refusal
 	}
 	for _, one := range b.Writes {
-		if one.Forget {
+		if one.RemoveProgress {
 			delete(w.progress, one.ID)
 			continue
 		}
 		w.progress[one.ID] = one.Progress
-		if one.EndsRecord {
+		if one.RemoveRecord {
 			delete(w.records, one.ID)
 		}
-		if one.EndsCancel {
+		if one.RemoveCancelRequest {
 			delete(w.cancelRows, one.ID)
 		}
 	}
-	w.core.Written(b, w.now)
+	w.core.BatchWritten(b, w.now)
 }
 
 // undo undoes a batch if a job of it has a stored record, and reports whether it did.
@@ -125,7 +125,7 @@
 		}
 	}
 	if len(existing) > 0 {
-		w.core.Undo(b, existing, w.now)
+		w.core.UndoBatch(b, existing, w.now)
 	}
 	return len(existing) > 0
 }
--- a/shard/world_test.go
+++ b/shard/world_test.go
@@ -19,44 +19,44 @@
 	testLease = 4 * time.Second
 
 	// testMaxLease is the maximum lease; workers shorten longer ones to it.
-	testLeaseMost = 10 * time.Second
+	testMaxLease = 10 * time.Second
 
 	// testBatchEntries is the maximum number of entries in a batch. It is small, so that
 	// batches have to be split.
-	testEntries = 12
+	testBatchEntries = 12
 
 	// testHandoverBytes is the maximum size of a handover; all workers of a test fit in.
-	testRowBytes = 65_536
+	testHandoverBytes = 65_536
 
 	// maxCancelDelay and maxStopDelay together bound how long a job may have runs after its
 	// cancellation; the platform's rules call them cancel_ms and stop_ms. maxContactDelay,
 	// contactMs in those rules, is the additional time for an order that a worker
 	// executed late.
-	cancelBound  = 3 * time.Second
-	contactBound = 3 * time.Second
-	stopBound    = 400 * time.Millisecond
+	maxCancelDelay  = 3 * time.Second
+	maxContactDelay = 3 * time.Second
+	maxStopDelay    = 400 * time.Millisecond
 
 	// minCrashesToFail is the minimum number of crashes after which a task may be failed.
-	givenUpBound = 2
+	minCrashesToFail = 2
 
 	// maxCrashesPerTask is the number of worker crashes after which a task must not be
 	// started again. maxExtraStarts is how many further starts the platform allows where
 	// owners did not see every crash.
-	crashBound  = 3
-	startsAfter = 2
+	maxCrashesPerTask = 3
+	maxExtraStarts    = 2
 
 	// feedDelay is how long it takes until the owner reads a row that an entry wrote.
-	feedPause = time.Second
+	feedDelay = time.Second
 )
 
 // delayedCall is a function that runs at a later time, such as an answer or a delayed order.
-type late struct {
+type delayedCall struct {
 	at time.Time
 	do func()
 }
 
 // reportedEnd is a final state that callers were shown, and when they first saw it.
-type toldEnd struct {
+type reportedEnd struct {
 	state job.State
 	at    time.Time
 }
@@ -64,23 +64,23 @@
 // world simulates a shard in virtual time. It holds the owner, fake workers, the stored rows,
 // and the violations that the oracle found.
 type world struct {
-	now      time.Time
-	start    time.Time
-	epoch    int64
-	version  int64
-	core     *shard.Shard
-	workers  map[string]*fakeWorker
-	records  map[string]shard.Record
-	progress map[string]shard.Progress
-	shown    map[string]job.State
-	noted    map[job.TaskID]time.Time
-	pending  []late
-	faults   []string
+	now        time.Time
+	start      time.Time
+	epoch      int64
+	version    int64
+	core       *shard.Shard
+	workers    map[string]*fakeWorker
+	records    map[string]shard.Record
+	progress   map[string]shard.Progress
+	shown      map[string]job.State
+	acked      map[job.TaskID]time.Time
+	pending    []delayedCall
+	violations []string
 
 	// stored holds every job whose record was ever stored. taken holds the owner's answers
 	// to submitted jobs: whether each was accepted.
-	stood map[string]bool
-	taken map[string]bool
+	stored map[string]bool
+	taken  map[string]bool
 
 	// storeDown prevents batches from being written. While startDelay is positive, starts
 	// get no answer and take effect after that time.
@@ -90,19 +90,19 @@
 	// standbyDown prevents that partition from being read and written. standbyRead says
 	// that this owner has read it.
 	standbyOn      bool
-	standbyAway    bool
+	standbyDown    bool
 	standbyRead    bool
 	standbyRecords map[string]shard.Record
 	standbyEnded   map[string]shard.Progress
-	standbyBatch   *shard.Standby
+	standbyBatch   *shard.StandbyBatch
 	standbyAt      time.Time
 
 	// reported holds the final states that callers were shown.
-	told map[string]toldEnd
+	reported map[string]reportedEnd
 
 	// policy is that of the next job; ticketRequests holds every ticket request so far.
-	policy catalog.Policy
-	asks   []shard.Ask
+	policy         catalog.Policy
+	ticketRequests []shard.TicketRequest
 
 	// quota is the service's share of the limit of the organisation that every job belongs
 	// to; nil if jobs belong to no organisation.
@@ -122,9 +122,9 @@
 	// frozen prevents the owner from confirming that it still owns the shard.
 	frozen bool
 
-	lose    time.Duration
-	batch   *shard.Batch
-	batchAt time.Time
+	startDelay time.Duration
+	batch      *shard.Batch
+	batchAt    time.Time
 
 	// wire is the owner's link; nil for a link without delay. starts is the budget for
 	// start orders on it.
@@ -133,28 +133,28 @@
 
 	// refused holds the rows of refused jobs. turned holds the jobs whose last answer was a
 	// refusal, and refusalHeardAt when that answer arrived.
-	refused map[string]shard.Refusal
-	turned  map[string]bool
-	heard   map[string]time.Time
+	refused        map[string]shard.Refusal
+	turned         map[string]bool
+	refusalHeardAt map[string]time.Time
 
 	// started holds when each task was last started by an order that was not delayed.
 	started map[job.TaskID]time.Time
 
 	// While pollDelay is positive, polls get no answer and take effect after that time.
 	// ackingPolls counts the polls that acknowledged ends.
-	loseLooks     time.Duration
-	acknowledging int
+	pollDelay   time.Duration
+	ackingPolls int
 
 	// startAnswerDelay is how long the answer to a start takes to arrive.
-	startAnswers time.Duration
+	startAnswerDelay time.Duration
 
 	// lookupsFail makes every lookup fail; lookupDelay is how long its answer takes to arrive.
 	lookupsFail bool
-	lookupsLate time.Duration
+	lookupDelay time.Duration
 
 	// pollTimeout is the time after which a poll without an answer fails. A longer one
 	// stands for an owner that lacks CPU time and notices late.
-	lookFails time.Duration
+	pollTimeout time.Duration
 
 	// lateAnswers is how long the answer to a poll takes to arrive. The answer tells the
 	// worker's state at the time of the poll.
@@ -162,23 +162,23 @@
 
 	// startError, unless nil, is the answer to every start after startErrorDelay; the start
 	// is not executed.
-	refuseStarts error
-	refuseAfter  time.Duration
+	startError      error
+	startErrorDelay time.Duration
 
 	// While stopDelay is positive, every unansweredStopEvery-th stop gets no answer and takes
 	// effect after that time. stops counts all stops.
-	loseStops time.Duration
-	loseEach  int
-	stops     int
+	stopDelay           time.Duration
+	unansweredStopEvery int
+	stops               int
 
 	// waitReasons counts the seconds in which tasks wait, by reason.
-	refusedFor map[string]int
+	waitReasons map[string]int
 
 	// delayedStops holds the stops of which an earlier attempt got no answer.
-	heldUp map[shard.Stop]bool
+	delayedStops map[shard.Stop]bool
 
 	// checkRetriedStops makes the oracle check the retries of such stops as well.
-	judgeRepeated bool
+	checkRetriedStops bool
 
 	// ownerless says that the owner was removed and has no successor yet.
 	ownerless bool
@@ -187,74 +187,74 @@
 	// cancellation was confirmed to its caller. disturbed is when a fault other than a
 	// delayed order last hindered the owner.
 	cancelRows map[string]bool
-	withdrawn  map[string]time.Time
+	cancelled  map[string]time.Time
 	disturbed  time.Time
 
 	// hideLateRuns omits runs of delayed starts from what workers list.
-	blindfold bool
+	hideLateRuns bool
 
 	// dropHandoverWait omits from handovers how long owners before the previous one may
 	// still be active.
-	waitless bool
+	dropHandoverWait bool
 
 	// skipUnknownCancels hides from the owner the cancellation rows of jobs that it does not
 	// know yet.
-	forgetful bool
+	skipUnknownCancels bool
 
 	// culprits holds the tasks that crash their worker, and after what run time. crashes
 	// counts the workers that crashed under each of them. restartDelay is the time after
 	// which a new incarnation or another worker answers at the address of a crashed worker;
 	// zero means never.
-	culprits  map[job.TaskID]time.Duration
-	crashes   map[job.TaskID]int
-	backAfter time.Duration
+	culprits     map[job.TaskID]time.Duration
+	crashes      map[job.TaskID]int
+	restartDelay time.Duration
 
 	// sameID says that a crashed worker restarts under the same id.
 	sameID bool
 
 	// takenBeforeListing names the workers that a new owner learns to have ended before it
 	// receives the registrations.
-	takenFirst []string
+	takenBeforeListing []string
 
 	// hideIncarnations omits the incarnation from what workers register and answer.
-	untold bool
+	hideIncarnations bool
 
 	// reportAllAvailable makes workers report every run as available at once.
-	full bool
+	reportAllAvailable bool
 
 	// mismatchPolls makes the owner take every answer for that to the last poll of the
 	// worker. lastPoll holds the number of that poll.
-	unnamed  bool
-	lastLook map[string]int64
+	mismatchPolls bool
+	lastPoll      map[string]int64
 
 	// crashesDuring counts the workers that crashed while a task ran there, whatever the cause.
-	under map[job.TaskID]int
+	crashesDuring map[job.TaskID]int
 
 	// hideCrashes and hidePossibleCrashes omit the recorded crashes and the possible crashes
 	// from the rows that an owner reads.
-	unmarked bool
-	untried  bool
+	hideCrashes         bool
+	hidePossibleCrashes bool
 
 	// presences tracks the availability of long-running tasks. instanceController owns the
 	// instances; nil if nothing does.
-	presences map[job.TaskID]*presence
-	holder    *holder
+	presences          map[job.TaskID]*presence
+	instanceController *instanceController
 
 	// released names the workers whose instances the instance controller has announced to
 	// order away. releasedUnread says that a new owner can't read these names.
-	giving       []string
-	givingUnread bool
+	released       []string
+	releasedUnread bool
 
 	// evacuations holds what the operator has evacuated.
 	evacuations evacuations
 
 	// logEvent receives the lines that owners log; nil drops them.
-	report func(event string, fields ...any)
+	logEvent func(event string, fields ...any)
 
 	// allowExtraStarts allows maxExtraStarts starts of a task after maxCrashesPerTask
 	// crashes. extraStarts counts these starts.
-	lenient    bool
-	startsOver map[job.TaskID]int
+	allowExtraStarts bool
+	extraStarts      map[job.TaskID]int
 }
 
 func newWorld(count int) *world {
@@ -265,35 +265,35 @@
 		progress: make(map[string]shard.Progress),
 		shown:    make(map[string]job.State),
 		used:     make(map[string]bool),
-		stood:    make(map[string]bool),
+		stored:   make(map[string]bool),
 		taken:    make(map[string]bool),
 		policy: catalog.Policy{
 			Attempts: 3,
 			Stretch:  2,
 			Target:   time.Second,
 		},
-		noted:          make(map[job.TaskID]time.Time),
-		standbyRecords: make(map[string]shard.Record),
-		standbyEnded:   make(map[string]shard.Progress),
-		told:           make(map[string]toldEnd),
-		cancelRows:     make(map[string]bool),
-		withdrawn:      make(map[string]time.Time),
-		loseEach:       2,
-		lookFails:      600 * time.Millisecond,
-		startAnswers:   tick,
-		refuseAfter:    100 * time.Millisecond,
-		refusedFor:     make(map[string]int),
-		heldUp:         make(map[shard.Stop]bool),
-		lastLook:       make(map[string]int64),
-		refused:        make(map[string]shard.Refusal),
-		turned:         make(map[string]bool),
-		heard:          make(map[string]time.Time),
-		culprits:       make(map[job.TaskID]time.Duration),
-		crashes:        make(map[job.TaskID]int),
-		under:          make(map[job.TaskID]int),
-		startsOver:     make(map[job.TaskID]int),
-		presences:      make(map[job.TaskID]*presence),
-		started:        make(map[job.TaskID]time.Time),
+		acked:               make(map[job.TaskID]time.Time),
+		standbyRecords:      make(map[string]shard.Record),
+		standbyEnded:        make(map[string]shard.Progress),
+		reported:            make(map[string]reportedEnd),
+		cancelRows:          make(map[string]bool),
+		cancelled:           make(map[string]time.Time),
+		unansweredStopEvery: 2,
+		pollTimeout:         600 * time.Millisecond,
+		startAnswerDelay:    tick,
+		startErrorDelay:     100 * time.Millisecond,
+		waitReasons:         make(map[string]int),
+		delayedStops:        make(map[shard.Stop]bool),
+		lastPoll:            make(map[string]int64),
+		refused:             make(map[string]shard.Refusal),
+		turned:              make(map[string]bool),
+		refusalHeardAt:      make(map[string]time.Time),
+		culprits:            make(map[job.TaskID]time.Duration),
+		crashes:             make(map[job.TaskID]int),
+		crashesDuring:       make(map[job.TaskID]int),
+		extraStarts:         make(map[job.TaskID]int),
+		presences:           make(map[job.TaskID]*presence),
+		started:             make(map[job.TaskID]time.Time),
 	}
 	w.now = w.start
 	for i := 0; i < count; i++ {
@@ -318,11 +318,11 @@
 				MemoryMB: 4000,
 			},
 		},
-		runs:      make(map[job.TaskID]*fakeRun),
-		shares:    make(map[job.TaskID]int),
-		top:       make(map[job.TaskID]int64),
-		endedAt:   make(map[int64]time.Time),
-		clockZero: w.start,
+		runs:       make(map[job.TaskID]*fakeRun),
+		shares:     make(map[job.TaskID]int),
+		highestRun: make(map[job.TaskID]int64),
+		endedAt:    make(map[int64]time.Time),
+		clockZero:  w.start,
 	}
 	w.workers[id] = f
 	return f
@@ -339,8 +339,8 @@
 // show records the state of a job that callers may see.
 func (w *world) show(id string, state job.State) {
 	w.shown[id] = state
-	if _, reported := w.told[id]; state.Final() && !reported {
-		w.told[id] = toldEnd{
+	if _, reported := w.reported[id]; state.Final() && !reported {
+		w.reported[id] = reportedEnd{
 			state: state,
 			at:    w.now,
 		}
@@ -349,11 +349,11 @@
 
 // replaceWorker ends a worker, adds a new one in the same rack, and returns the new id. If the
 // instance was taken, the owner is told that the worker has ended.
-func (w *world) replace(f *fakeWorker, taken bool) string {
+func (w *world) replaceWorker(f *fakeWorker, taken bool) string {
 	id := fmt.Sprintf("w%d", len(w.workers))
 	f.down = true
 	if taken {
-		w.core.End([]string{f.reg.ID}, w.now)
+		w.core.RemoveTaken([]string{f.reg.ID}, w.now)
 	}
 	w.addWorker(id, f.reg.Rack)
 	w.list()
@@ -374,15 +374,15 @@
 // registration returns the row of a worker in the table of registrations.
 func (w *world) registration(f *fakeWorker) outside.Registration {
 	reg := f.reg
-	if w.untold {
+	if w.hideIncarnations {
 		reg.Born = time.Time{}
 	}
 	return reg
 }
 
 // addViolation records that a rule was broken.
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now.Sub(w.start))+fmt.Sprintf(format, args...))
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now.Sub(w.start))+fmt.Sprintf(format, args...))
 }
 
 // submit stores a job with the given steps as an entry does, and tells the owner.
@@ -393,15 +393,15 @@
 }
 
 // submitToOwner submits a job with the given steps to the owner.
-func (w *world) handIn(id string, steps ...job.Step) {
-	w.core.Submit(w.record(id, steps...), w.now, func(answer shard.Answer) { w.taken[id] = answer.Taken })
+func (w *world) submitToOwner(id string, steps ...job.Step) {
+	w.core.Submit(w.record(id, steps...), w.now, func(answer shard.SubmitResult) { w.taken[id] = answer.Accepted })
 }
 
 // store writes the record of a job.
 func (w *world) store(record shard.Record) {
 	w.version++
 	w.records[record.ID] = record
-	w.stood[record.ID] = true
+	w.stored[record.ID] = true
 }
 
 func (w *world) record(id string, steps ...job.Step) shard.Record {
@@ -422,11 +422,11 @@
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		w.deliver()
-		w.work()
-		w.watchPresence()
-		w.judgeWithdrawn()
-		if w.holder != nil {
-			w.holder.act()
+		w.advanceWorkers()
+		w.recordPresence()
+		w.checkCancelled()
+		if w.instanceController != nil {
+			w.instanceController.runRound()
 		}
 		if w.ownerless {
 			continue
@@ -434,9 +434,9 @@
 		w.write()
 		w.writeStandby()
 		orders, _ := w.core.Next(w.now)
-		w.carryOut(w.core, orders)
-		w.actOn()
-		w.judgeShown()
+		w.executeOrders(w.core, orders)
+		w.runZombies()
+		w.checkReported()
 	}
 }
 
@@ -455,20 +455,20 @@
 
 // after schedules a call.
 func (w *world) after(d time.Duration, do func()) {
-	w.pending = append(w.pending, late{
+	w.pending = append(w.pending, delayedCall{
 		at: w.now.Add(d),
 		do: do,
 	})
 }
 
 // advanceWorkers advances the runs of every worker by one tick.
-func (w *world) work() {
+func (w *world) advanceWorkers() {
 	for _, f := range w.workers {
 		if f.down {
 			continue
 		}
-		if w.now.After(f.until) {
-			f.lapsed = w.now
+		if w.now.After(f.leaseUntil) {
+			f.leaseLapsedAt = w.now
 		}
 		for id, r := range f.runs {
 			if f.down {
@@ -476,18 +476,18 @@
 			}
 			r.workLeft -= tick
 			switch {
-			case w.crashesNow(id, r):
-				w.crash(f, id)
-			case w.now.After(f.until):
-				f.end(id, outside.EndLapsed, w.now)
+			case w.shouldCrash(id, r):
+				w.crashByTask(f, id)
+			case w.now.After(f.leaseUntil):
+				f.endRun(id, outside.EndLapsed, w.now)
 			case !r.stopAt.IsZero() && !w.now.Before(r.stopAt):
-				f.end(id, outside.EndStopped, w.now)
+				f.endRun(id, outside.EndStopped, w.now)
 			case r.workLeft <= 0 && r.step.Gang && r.step.Label == "poison" && int(r.number)%r.step.Count != id.Index:
-				f.end(id, outside.EndBroken, w.now) // Another member failed; which one depends on the run.
+				f.endRun(id, outside.EndBroken, w.now) // Another member failed; which one depends on the run.
 			case r.workLeft <= 0 && !r.step.Lasting && r.step.Label == "poison":
-				f.end(id, outside.EndFailed, w.now)
+				f.endRun(id, outside.EndFailed, w.now)
 			case r.workLeft <= 0 && !r.step.Lasting:
-				f.end(id, outside.EndDone, w.now)
+				f.endRun(id, outside.EndDone, w.now)
 			}
 		}
 	}
--- a/site/settings.go
+++ b/site/settings.go
@@ -71,13 +71,13 @@
 	StopGrace time.Duration
 
 	// StopTask is the longest time that a task takes to stop.
-	StopTask time.Duration
+	StopTimeout time.Duration
 
 	// GangWait is how long a member of a gang waits for the others.
 	GangWait time.Duration
 
 	// ShownFor is how long the state of an ended job must be known.
-	ShownFor time.Duration
+	JobRetention time.Duration
 
 	// Notice is how long a lasting task counts as away once it was stopped.
 	Notice time.Duration
@@ -97,7 +97,7 @@
 	Early time.Duration
 
 	// FarFactor is how many times longer a task takes away from its data.
-	FarFactor float64
+	RemoteFactor float64
 
 	// InstanceCalls is how many orders for instances all entries may give
 	// together in a second.
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -19,30 +19,30 @@
 	// isolated on a dedicated worker, so that bystanders are not given up because of it.
 	// Isolation does not start at the first crash: that makes about a dozen tasks suspect,
 	// and a dedicated worker for each would take up a whole pool.
-	AloneFrom = 2
+	MinIsolationCrashes = 2
 
 	// ReservedDivisor limits the workers that may be reserved for isolated tasks: the
 	// number of workers divided by it, but at least one. Many isolated tasks at once must
 	// not take all workers of a pool.
-	AloneShare = 10
+	ReservedDivisor = 10
 
 	// IsolationWait is how long an isolated task waits for a dedicated worker. After that it
 	// starts on the worker with the fewest other tasks, and no task is added there: a job that
 	// never runs is worse than the bystanders that it may crash. An ordered instance arrives
 	// within about 2.5 s. If the wait is too short (3 s), a bystander with two recorded crashes
 	// may join tasks that crash their worker, and its job is given up.
-	AloneWait = 8 * time.Second
+	IsolationWait = 8 * time.Second
 
 	// LongRunningIsolationWait is IsolationWait for a long-running task, which the platform
 	// expects to run again within 6 s after its last run ended.
-	AloneWaitLasting = 3 * time.Second
+	LongRunningIsolationWait = 3 * time.Second
 
 	// ProvenAfter is how long a long-running task must run until it is proven, that is, no
 	// longer suspected of crashes. It is many times the 10 ms or so in which a crash at the
 	// start is noticed. Without it, a task that runs for months would be given up after three
 	// unrelated crashes. 10 s was too long: a task was given up whose workers crashed 12, 20
 	// and 28 s after it was submitted, for another cause.
-	ProvedAfter = 2 * time.Second
+	ProvenAfter = 2 * time.Second
 )
 
 // Loss is what an owner knows of a worker whose incarnation has ended or is assumed to
@@ -56,11 +56,11 @@
 	Unheard bool
 
 	// UnlistedAt is the time at which the registration ended; zero while it exists.
-	Unlisted time.Time
+	UnlistedAt time.Time
 
 	// SilentSince is the time since which the worker does not answer; zero if no poll
 	// failed before its end was known.
-	Silent time.Time
+	SilentSince time.Time
 }
 
 // Crashed reports whether the worker ended unannounced. A worker that announced its end,
@@ -71,18 +71,18 @@
 	if l.Draining {
 		return false
 	}
-	if l.Unheard || l.Unlisted.IsZero() {
+	if l.Unheard || l.UnlistedAt.IsZero() {
 		return true
 	}
-	return !l.Silent.IsZero() && l.Silent.Before(l.Unlisted)
+	return !l.SilentSince.IsZero() && l.SilentSince.Before(l.UnlistedAt)
 }
 
 // Crashes holds the incarnations of workers that crashed under a task. Each appears once,
 // although an owner and the next owner may both see the same crash.
-type Marks []string
+type Crashes []string
 
 // Add returns the crashes with a worker incarnation added, and whether it is new.
-func (m Marks) Add(worker string) (Marks, bool) {
+func (m Crashes) Add(worker string) (Crashes, bool) {
 	if slices.Contains(m, worker) {
 		return m, false
 	}
@@ -90,26 +90,26 @@
 }
 
 // Without returns a copy of the crashes without a worker incarnation.
-func (m Marks) Without(worker string) Marks {
+func (m Crashes) Without(worker string) Crashes {
 	return slices.DeleteFunc(slices.Clone(m), func(other string) bool { return other == worker })
 }
 
 // Suspect reports whether the task should run apart from others if resources permit.
-func (m Marks) Suspect() bool {
+func (m Crashes) Suspect() bool {
 	return len(m) > 0
 }
 
 // NeedsIsolation reports whether the task must run on a dedicated worker.
-func (m Marks) Alone() bool {
-	return len(m) >= AloneFrom
+func (m Crashes) NeedsIsolation() bool {
+	return len(m) >= MinIsolationCrashes
 }
 
 // GivenUp reports whether the task must not be started again.
-func (m Marks) GivenUp() bool {
+func (m Crashes) GivenUp() bool {
 	return len(m) >= CrashLimit
 }
 
 // MaxReserved returns how many of the workers may be reserved for isolated tasks.
-func AloneMost(workers int) int {
-	return max(1, workers/AloneShare)
+func MaxReserved(workers int) int {
+	return max(1, workers/ReservedDivisor)
 }
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -12,7 +12,7 @@
 	"lemonstream.dev/lemonstream/suspect"
 )
 
-func TestOnlyAnEndWithoutAWordIsACrash(t *testing.T) {
+func TestOnlyUnannouncedEndIsACrash(t *testing.T) {
 	at := time.UnixMilli(1_000_000)
 	for _, test := range []struct {
 		name    string
@@ -22,7 +22,7 @@
 		{
 			name: "silent, then another incarnation answers while the registration exists",
 			loss: suspect.Loss{
-				Silent: at,
+				SilentSince: at,
 			},
 			crashed: true,
 		},
@@ -33,17 +33,17 @@
 		{
 			name: "silent, and the registration lapsed later",
 			loss: suspect.Loss{
-				Silent:   at,
-				Unlisted: at.Add(4 * time.Second),
+				SilentSince: at,
+				UnlistedAt:  at.Add(4 * time.Second),
 			},
 			crashed: true,
 		},
 		{
 			name: "never answered this owner, and the registration ended",
 			loss: suspect.Loss{
-				Unheard:  true,
-				Unlisted: at,
-				Silent:   at.Add(time.Second),
+				Unheard:     true,
+				UnlistedAt:  at,
+				SilentSince: at.Add(time.Second),
 			},
 			crashed: true,
 		},
@@ -57,21 +57,21 @@
 		{
 			name: "announced its end",
 			loss: suspect.Loss{
-				Draining: true,
-				Silent:   at,
+				Draining:    true,
+				SilentSince: at,
 			},
 		},
 		{
 			name: "registration ended unannounced, and the worker still answered afterwards",
 			loss: suspect.Loss{
-				Unlisted: at,
-				Silent:   at.Add(2 * time.Second),
+				UnlistedAt:  at,
+				SilentSince: at.Add(2 * time.Second),
 			},
 		},
 		{
 			name: "registration ended unannounced, and the worker never was silent",
 			loss: suspect.Loss{
-				Unlisted: at,
+				UnlistedAt: at,
 			},
 		},
 	} {
@@ -85,9 +85,9 @@
 // TestTaskIsGivenUpAtCrashLimit adds crashes in any order, some of them twice, as two
 // successive owners may record the same crash. The task must be given up exactly when the
 // third worker has crashed.
-func TestNoTaskIsStartedMoreThanTheLimit(t *testing.T) {
+func TestTaskIsGivenUpAtCrashLimit(t *testing.T) {
 	prove.Property(t, func(t *rapid.T) {
-		var marks suspect.Marks
+		var marks suspect.Crashes
 		seen := make(map[string]bool)
 		for _, worker := range rapid.SliceOfN(rapid.IntRange(0, 4), 0, 12).Draw(t, "workers") {
 			id := fmt.Sprint("w", worker)
@@ -101,8 +101,8 @@
 		if marks.GivenUp() != (len(seen) >= 3) {
 			t.Fatalf("%d crashed workers, given up %v", len(seen), marks.GivenUp())
 		}
-		if marks.Suspect() != (len(seen) > 0) || marks.Alone() != (len(seen) >= 2) {
-			t.Fatalf("%d crashed workers, suspect %v, isolated %v", len(seen), marks.Suspect(), marks.Alone())
+		if marks.Suspect() != (len(seen) > 0) || marks.NeedsIsolation() != (len(seen) >= 2) {
+			t.Fatalf("%d crashed workers, suspect %v, isolated %v", len(seen), marks.Suspect(), marks.NeedsIsolation())
 		}
 	})
 }
--- a/wave/wave.go
+++ b/wave/wave.go
@@ -19,7 +19,7 @@
 // InfeasibleError reports instances that fit no wave: taking out any one of them exceeds
 // the budget of its pool. Instances of earlier waves count as out only if they stay out
 // by the plan.
-type NeverError struct {
+type InfeasibleError struct {
 	// IDs are the IDs of the instances, sorted.
 	IDs []string
 
@@ -41,12 +41,12 @@
 }
 
 // Error implements error.
-func (e *NeverError) Error() string {
+func (e *InfeasibleError) Error() string {
 	return "no wave can hold " + e.IDs[0] + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the budget's error.
-func (e *NeverError) Unwrap() error {
+func (e *InfeasibleError) Unwrap() error {
 	return e.Cause
 }
 
@@ -65,8 +65,8 @@
 	for len(left) > 0 {
 		wave, rest, blocked := pick(left, pools, size, policy.Width)
 		if len(wave) == 0 {
-			return waves, &NeverError{
-				IDs:   ids(rest),
+			return waves, &InfeasibleError{
+				IDs:   sortedIDs(rest),
 				Cause: blocked,
 			}
 		}
@@ -103,7 +103,7 @@
 	return clone
 }
 
-func ids(items []Item) []string {
+func sortedIDs(items []Item) []string {
 	names := make([]string, 0, len(items))
 	for _, item := range items {
 		names = append(names, item.ID)
--- a/wave/wave_test.go
+++ b/wave/wave_test.go
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	items, pools := build(4, 1, 4)
 	_, err := wave.Plan(items, pools, wave.Policy{}, false)
-	var never *wave.NeverError
+	var never *wave.InfeasibleError
 	is.True(errors.As(err, &never))
 	is.Equal(len(never.IDs), 4)
 	var exceeded *budget.ExceededError
--- a/work/job.go
+++ b/work/job.go
@@ -185,7 +185,7 @@
 		ID:          j.ID,
 		Team:        j.Team,
 		Urgent:      j.Urgent,
-		Size:        place.Learn(place.Size(j.Declared), place.Size(j.Seen)),
+		Size:        place.EstimateSize(place.Size(j.Declared), place.Size(j.Seen)),
 		Waiting:     clock.FromMillis(j.Waiting),
 		Worker:      j.Worker,
 		Checkpoints: j.Checkpoints,
