--- a/intent/planner.go
+++ b/intent/planner.go
@@ -37,7 +37,7 @@
 
 // Make returns the plan for the intent, in the proposed state. It returns an
 // *InvalidError for an intent that cannot be understood, and a
-// *wave.NeverError for one that no order of waves can carry out.
+// *wave.InfeasibleError for one that no order of waves can carry out.
 func (p Planner) Make(id string, i Intent, now time.Time) (*Plan, error) {
 	if err := i.Check(); err != nil {
 		return nil, err
--- a/owner/fleet.go
+++ b/owner/fleet.go
@@ -62,7 +62,7 @@
 	// platform's own pause (Site.HolderPause).
 	staleOrderMargin = 300 * time.Millisecond
 
-	// endedRetention is how long service owners are told about a worker whose instance was
+	// endedRetention is how long service owners are notified of a worker whose instance was
 	// taken. It is longer than the lifetime of a registration.
 	endedRetention = 8 * time.Second
 
@@ -70,7 +70,7 @@
 	maxOpenWaves = 8
 )
 
-// WaveSource reads waves and tells where their state is published.
+// WaveSource reads waves and specifies where their state is published.
 type WaveSource struct {
 	// Waves returns the requests in the operator's table.
 	Waves func() []outside.Wave
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -93,7 +93,7 @@
 }
 
 // restoreTaken restores the instances that the previous instance controller took recently. It may
-// not have told the owners of the services.
+// not have notified the owners of the services.
 func (f *instanceController) restoreTaken(list []TakenRow, now time.Time) {
 	for _, row := range list {
 		if f.ended[row.Service] == nil {
--- a/owner/intake.go
+++ b/owner/intake.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// finishLookup tells the shard that a read that began after the lookup was ordered has been
+// finishLookup notifies the shard that a read that began after the lookup was ordered has been
 // applied, or why it failed.
 func (d *Duty) finishLookup(lookup shard.Lookup, err error) {
 	d.pushLogged(func(d *Duty, now time.Time) { d.core.LookedUp(lookup, err, now) })
--- a/owner/rows.go
+++ b/owner/rows.go
@@ -69,7 +69,7 @@
 	ReleasedWorkers []ReleasedRow `cbor:"8,keyasint,omitempty"`
 
 	// UnobservedMillis is how long after this transaction was made, in milliseconds, an
-	// owner before this one may still matter, even if this one has ended. For a service,
+	// previous owner may still matter, even if this one has ended. For a service,
 	// runs that it started may still exist on any worker that is neither in IdleWorkers nor
 	// in Leased. For the instance controller, the instances in Ordered stay blocked.
 	UnobservedMillis int64 `cbor:"7,keyasint,omitempty"`
@@ -115,7 +115,7 @@
 	Service string `cbor:"1,keyasint"`
 	Worker  string `cbor:"2,keyasint"`
 
-	// RemainingMillis is how long the owner of the service is still told about the worker.
+	// RemainingMillis is how long the owner of the service is still notified of the worker.
 	RemainingMillis int64 `cbor:"3,keyasint"`
 }
 
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -146,7 +146,7 @@
 }
 
 // transaction builds the next transaction. beat holds what the next owner needs to know; its
-// epoch and sequence are set here. With release, the transaction also gives up the part: the
+// epoch and sequence are set here. With release, the transaction also releases the part: the
 // owner sends no more orders.
 func (t *tenure) transaction(beat Beat, rows rowChanges, release bool) outside.Transaction {
 	t.sequence++
@@ -181,7 +181,7 @@
 	return tx
 }
 
-// releasedRow returns the owner's row that gives up the part.
+// releasedRow returns the owner's row that releases the part.
 func (t *tenure) releasedRow() Ownership {
 	o := Ownership{
 		Epoch:    t.epoch,
@@ -251,7 +251,7 @@
 	t.failures.Add(1)
 	t.log.Warn("transaction without success", "part", t.part, "epoch", t.epoch, "error", err.Error())
 	if !needsRetry(err) {
-		// An answer that can't be decoded does not tell whether the transaction was applied.
+		// An answer that can't be decoded does not show whether the transaction was applied.
 		err = &outside.UncertainError{
 			Call:  "transaction",
 			Cause: err,
--- a/pool/round.go
+++ b/pool/round.go
@@ -245,8 +245,8 @@
 }
 
 // retainedCount returns how many instances the service name retains when the service to lacks
-// some. While to is below its need, name gives up everything that it does not need itself. Once
-// to is only below its target (for late work, say), name gives up only what exceeds its own
+// some. While to is below its need, name releases everything that it does not need itself. Once
+// to is only below its target (for late work, say), name releases only what exceeds its own
 // target.
 func (r *round) retainedCount(name, to string) int {
 	if r.count[to] < r.needs[to] {
--- a/shard/crash_world_test.go
+++ b/shard/crash_world_test.go
@@ -55,7 +55,7 @@
 	return slices.Sorted(maps.Keys(w.workers))
 }
 
-// failWorker ends a worker with all its runs without notice. If backAfter is set, it is replaced
+// failWorker ends a worker with all its runs without notice. If restartDelay is set, it is replaced
 // after that time: by its next incarnation if sameID is set, otherwise by a worker with another id
 // at the same address.
 func (w *world) failWorker(f *fakeWorker) {
--- a/shard/eviction.go
+++ b/shard/eviction.go
@@ -13,7 +13,7 @@
 func (s *Shard) moveOffDraining(now time.Time) {
 	for _, w := range s.workers {
 		// A worker that is reserved for an isolated task must empty as well: a long-running
-		// task on it would keep the isolated task waiting for all of suspect.AloneWait.
+		// task on it would keep the isolated task waiting for all of suspect.IsolationWait.
 		closed := now.Before(w.closedUntil) || now.Before(w.reservedUntil)
 		draining := w.isDraining()
 		if len(w.runs) == 0 || (!draining && !closed) {
--- a/shard/handover.go
+++ b/shard/handover.go
@@ -17,8 +17,8 @@
 	taskRowBytes = 3
 )
 
-// Handover is what an owner tells its successor about workers that the successor may be unable to
-// reach. A worker that is not listed may run anything until its leases from earlier owners have
+// Handover is what an owner reports to its successor about workers that the successor may be unable
+// to reach. A worker that is not listed may run anything until its leases from earlier owners have
 // expired. A handover is valid from when it was made until the same owner writes the next one.
 type Handover struct {
 	// Idle lists workers that certainly run nothing and on which no order of this owner or an
@@ -212,8 +212,8 @@
 }
 
 // unobserved returns the tasks that workers may still run because an earlier owner started them,
-// and that this owner has not observed. Until the standby part is read, it may hold jobs that only
-// an earlier owner knew, so that any task may run.
+// and that this owner has not observed. Until the standby partition is read, it may hold jobs that
+// only an earlier owner knew, so that any task may run.
 func (s *Shard) unobserved(now time.Time) unobservedTasks {
 	if s.standbyUnread {
 		return unobservedTasks{
--- a/shard/instance_world_test.go
+++ b/shard/instance_world_test.go
@@ -79,8 +79,8 @@
 	MoveCost:     pool.DefaultMoveCost,
 }
 
-// newHolder returns a holder with one instance for each worker of the world and the given number of
-// sleeping instances.
+// newInstanceController returns an instance controller with one instance for each worker of the
+// world and the given number of sleeping instances.
 func newInstanceController(w *world, sleeping int) *instanceController {
 	h := &instanceController{
 		w:     w,
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -123,7 +123,7 @@
 
 // Cancel cancels a job. It reports false if the job is unknown, or if the cancellation has to be
 // deferred and too many are. done is called once the job's final state is stored, or immediately if
-// it already is. Until the standby part is read, which may hold the job's final state, the
+// it already is. Until the standby partition is read, which may hold the job's final state, the
 // cancellation is deferred.
 func (s *Shard) Cancel(id string, now time.Time, done func()) bool {
 	j, known := s.jobs[id]
--- a/shard/jobstate.go
+++ b/shard/jobstate.go
@@ -54,9 +54,9 @@
 	submitted     bool
 	submitWaiters []func(SubmitResult)
 
-	// offeredStandby means that a batch for the standby part holds the job's record or final
+	// offeredStandby means that a batch for the standby partition holds the job's record or final
 	// state, or that the final state is already stored there. inStandby means that the standby
-	// part holds rows of the job. finalStored means that the final state is stored in the
+	// partition holds rows of the job. finalStored means that the final state is stored in the
 	// service's own part.
 	offeredStandby bool
 	inStandby      bool
--- a/shard/lease.go
+++ b/shard/lease.go
@@ -50,10 +50,10 @@
 	return w.failures > 0 && len(w.runs) == 0 && now.After(w.leaseEnd) && now.After(w.unobservedUntil)
 }
 
-// expireLeases gives up the runs on workers that could not be reached for a whole lease, but only
+// expireLeases drops the runs on workers that could not be reached for a whole lease, but only
 // after one more poll has failed: if this owner lacked processor time and processed answers too
 // late, a worker that was running all the time can still list the runs that succeeded. While this
-// owner itself is late, it gives up nothing. Unlisted workers that stay silent are removed.
+// owner itself is late, it drops no runs. Unlisted workers that stay silent are removed.
 func (s *Shard) expireLeases(now time.Time) {
 	late := s.answerLatency.late(now)
 	for id, w := range s.workers {
@@ -104,8 +104,8 @@
 	}
 }
 
-// orderPolls orders the polls that are due. No worker is polled before the standby part is read,
-// because runs of jobs that are not known yet would be stopped, and their ends acknowledged.
+// orderPolls orders the polls that are due. No worker is polled before the standby partition is
+// read, because runs of jobs that are not known yet would be stopped, and their ends acknowledged.
 func (s *Shard) orderPolls(now time.Time) {
 	if s.standbyUnread {
 		return
--- a/shard/load.go
+++ b/shard/load.go
@@ -142,7 +142,7 @@
 }
 
 // mayBeReleased reports whether an order to the worker's instance may be in flight of which this
-// owner was not told.
+// owner was not notified.
 func (s *Shard) mayBeReleased(w *workerState, now time.Time) bool {
 	return len(w.runs) == 0 && (now.Before(s.anyReleasedUntil) || now.Before(s.releasedUntil[w.reg.ID]))
 }
--- a/shard/place.go
+++ b/shard/place.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// placeStep starts the idle tasks of a step until none fits, except those that may have an unseen
-// run. It returns full, with the charge of the step added if lack of room alone can be the reason
-// that no worker took a task.
+// placeStep starts the idle tasks of a step until none fits, except those that may have an
+// unobserved run. It returns full, with the charge of the step added if lack of room alone can be
+// the reason that no worker took a task.
 func (s *Shard) placeStep(g group, step *stepState, spec *job.Step, full []job.Room, unobserved unobservedTasks, now time.Time) []job.Room {
 	choices := &picker{
 		shard: s,
@@ -176,7 +176,7 @@
 
 // groups returns the groups of tasks that may start, the most urgent first. It removes jobs
 // without idle tasks from waiting. If unobserved is set, only fresh jobs are considered: any other
-// job may have unseen runs.
+// job may have unobserved runs.
 func (s *Shard) groups(now time.Time, unobserved bool) []group {
 	var list []group
 	for id, j := range s.waiting {
--- a/shard/quota.go
+++ b/shard/quota.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// refreshUnseen determines the workers that may have unseen runs of previous owners, and resets
+// refreshUnseen determines the workers that may have unobserved runs of previous owners, and resets
 // the waiting usage of all organisations before a placement.
 func (s *Shard) refreshUnseen(now time.Time) {
 	s.unseen = unseen{}
@@ -127,9 +127,9 @@
 	}
 }
 
-// unseenUsage returns the most that unseen runs of previous owners may use of an organisation's
+// unseenUsage returns the most that unobserved runs of previous owners may use of an organisation's
 // limit: what these owners were allowed, less what was found, and at most the capacity of the
-// workers that may have unseen runs.
+// workers that may have unobserved runs.
 func (s *Shard) unseenUsage(u *usage, q Quota) job.Room {
 	if !s.unseen.any {
 		return job.Room{}
--- a/shard/refuse.go
+++ b/shard/refuse.go
@@ -10,7 +10,7 @@
 )
 
 // A refused job certainly does not run, unless it is submitted again. The owner decides on the
-// refusal and writes a row of it before a caller is told. The transaction holds up to
+// refusal and writes a row of it before a caller is notified. The transaction holds up to
 // maxRefusalsPerBatch refusals, each under the condition that no record of the job is stored. An
 // entry that writes a record itself does so under the condition that no refusal is stored, or
 // removes one that is certainly older than its own attempt. So either a refusal or a record is
@@ -35,7 +35,7 @@
 	// refusals a second, the rate of transactions of one partition of the store.
 	maxRefusals = 4096
 
-	// maxAnswerAge is the maximum age of a refusal at which its caller is told of it once its row
+	// maxAnswerAge is the maximum age of a refusal at which its caller is notified of it once its row
 	// is stored. If a slow store took longer to write it, the job may have been submitted again
 	// in between.
 	maxAnswerAge = earlierAttemptWindow / 2
@@ -87,7 +87,7 @@
 	return encode(r)
 }
 
-// Covers reports whether an entry read a job so early that its caller cannot have been told of the
+// Covers reports whether an entry read a job so early that its caller cannot have received the
 // refusal and retried. The record then belongs to an attempt from before the refusal.
 func (r Refusal) Covers(record Record) bool {
 	return record.acceptedAt().Before(time.UnixMilli(r.AtMillis).Add(earlierAttemptWindow))
--- a/shard/report.go
+++ b/shard/report.go
@@ -22,7 +22,7 @@
 }
 
 // logBudgetExceeded logs that an order, or a lease that was not renewed, ends a long-running task
-// although its step can't miss another task. cause tells an order from a lapsed lease.
+// although its step can't miss another task. cause distinguishes an order from a lapsed lease.
 func (s *Shard) logBudgetExceeded(cause string, id job.TaskID, number int64, w *workerState) {
 	spec, found := s.stepOf(id)
 	if !found || !spec.Lasting || !spec.HasMayMiss || s.jobs[id.Job].state.Final() {
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -43,7 +43,7 @@
 	// Lease is how long a worker keeps running without a renewal.
 	Lease time.Duration
 
-	// MaxLease is the longest lease that a worker grants, even if an order asks for more.
+	// MaxLease is the longest lease that a worker grants, even if an order requests more.
 	LeaseLimit time.Duration
 
 	// BusyPollWait and IdlePollWait are how long a poll may wait at a worker that has runs and at
@@ -88,7 +88,7 @@
 	// for some time; nil counts nothing.
 	CountRefusal func(reason string)
 
-	// PublishState is called with the state of a job once callers may be told.
+	// PublishState is called with the state of a job once callers may receive it.
 	PublishState func(id string, state job.State)
 }
 
@@ -103,7 +103,8 @@
 	fenceRaises map[string]int64
 
 	// takenAt is when this owner took over the shard; claimVersion is the version of that write. If
-	// a job was written later and this owner was told of it first, no earlier owner has seen it.
+	// a job was written later and this owner was notified of it first, no earlier owner has seen
+	// it.
 	takenAt      time.Time
 	claimVersion int64
 
@@ -146,7 +147,7 @@
 
 	// deferredCancels names jobs whose cancellation can't be decided yet. Either the job is not in
 	// memory, or its record or final state may be in the standby partition, which is not read yet.
-	// The value says whether a row asks for the cancellation.
+	// The value says whether a row requests the cancellation.
 	deferredCancels map[string]bool
 
 	// lastBatch is the number of the last batch taken, writtenBatch that of the last batch written.
@@ -207,7 +208,7 @@
 	allRunsSeen  bool
 
 	// releasedUntil holds, by worker that an earlier owner released, until when an order to the
-	// worker's instance may be under way that this owner was not told of. anyReleasedUntil is the
+	// worker's instance may be under way that this owner was not notified of. anyReleasedUntil is the
 	// same for every worker without runs.
 	releasedUntil    map[string]time.Time
 	anyReleasedUntil time.Time
@@ -250,7 +251,7 @@
 	// waits.
 	nextStartAt time.Time
 
-	// answerLatency tells whether this owner itself is late in handling answers.
+	// answerLatency reports whether this owner itself is late in handling answers.
 	answerLatency answerLatency
 
 	// lastCall is the number of the last order that was given.
--- a/shard/standby.go
+++ b/shard/standby.go
@@ -16,7 +16,7 @@
 	// written anywhere.
 	Records []Record
 
-	// Ended holds final states that callers have not been told.
+	// Ended holds final states that callers have not received.
 	Ended []Write
 }
 
--- a/shard/unknown.go
+++ b/shard/unknown.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxLookupJobs bounds the jobs that one lookup asks for.
+	// maxLookupJobs bounds the jobs of one lookup.
 	maxLookupJobs = 500
 
 	// lookupRetryInterval is the time between a failed lookup and the next one.
@@ -31,11 +31,11 @@
 }
 
 // unknownJob is a job that this owner does not know although workers list runs or ends of it. An
-// entry may have written its record and told an earlier owner. Because no run begins before the
+// entry may have written its record and notified an earlier owner. Because no run begins before the
 // record of its job is written, a lookup that is ordered after a run or an end was seen finds the
 // record.
 type unknownJob struct {
-	// lookup is the number of the lookup that asks for the job; 0 if none does.
+	// lookup is the number of the lookup that includes the job; 0 if none does.
 	lookup int64
 }
 
@@ -178,7 +178,7 @@
 	})
 }
 
-// LookedUp handles the answer to a lookup. Jobs that the lookup asked for and that are still not
+// LookedUp handles the answer to a lookup. Jobs of the lookup that are still not
 // known have no record: their runs are stopped and their ends acknowledged.
 func (s *Shard) LookedUp(lookup Lookup, err error, now time.Time) {
 	if lookup.Call != s.lookup {
--- a/shard/worker.go
+++ b/shard/worker.go
@@ -91,7 +91,7 @@
 	unanswered bool
 
 	// uncertainAt is when the last order to start the run got no answer, or an answer that does not
-	// tell whether the run began. notStarted says that a later poll showed that the run had not
+	// show whether the run began. notStarted says that a later poll showed that the run had not
 	// begun.
 	uncertainAt time.Time
 	notStarted  bool
@@ -236,7 +236,7 @@
 	recentFailures int
 }
 
-// incarnation returns the worker's incarnation as its own answers tell it, or as its registration
+// incarnation returns the worker's incarnation as its own answers report it, or as its registration
 // does if it has not answered yet.
 func (w *workerState) incarnation() outside.Incarnation {
 	if w.born.IsZero() {
--- a/site/settings.go
+++ b/site/settings.go
@@ -70,13 +70,13 @@
 	// StopGrace is the time between the request to stop and the kill.
 	StopGrace time.Duration
 
-	// StopTask is the longest time that a task takes to stop.
+	// StopTimeout is the longest time that a task takes to stop.
 	StopTimeout time.Duration
 
 	// GangWait is how long a member of a gang waits for the others.
 	GangWait time.Duration
 
-	// ShownFor is how long the state of an ended job must be known.
+	// JobRetention is how long the state of an ended job must be known.
 	JobRetention time.Duration
 
 	// Notice is how long a lasting task counts as away once it was stopped.
@@ -96,7 +96,7 @@
 	// Early is how much before its time a repeated job may start.
 	Early time.Duration
 
-	// FarFactor is how many times longer a task takes away from its data.
+	// RemoteFactor is how many times longer a task takes away from its data.
 	RemoteFactor float64
 
 	// InstanceCalls is how many orders for instances all entries may give
