--- a/shard/instance_world_test.go
+++ b/shard/instance_world_test.go
@@ -42,8 +42,8 @@
 	worker *fakeWorker
 }
 
-// holder manages the instances as the instance controller does, in virtual time: it asks the owner
-// for its load, makes a plan, announces it and sends its orders.
+// instanceController manages the instances as the instance controller does, in virtual time: it
+// asks the owner for its load, makes a plan, announces it and sends its orders.
 type instanceController struct {
 	w         *world
 	sizer     *pool.Sizer
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -43,7 +43,7 @@
 	// Lease is how long a worker keeps running without a renewal.
 	Lease time.Duration
 
-	// MaxLease is the longest lease that a worker grants, even if an order requests more.
+	// LeaseLimit is the longest lease that a worker grants, even if an order requests more.
 	LeaseLimit time.Duration
 
 	// BusyPollWait and IdlePollWait are how long a poll may wait at a worker that has runs and at
@@ -81,7 +81,7 @@
 	// RejectsOverload says that workers refuse tasks that do not fit.
 	RejectsOverload bool
 
-	// Log writes one log line for each decision that affects a job.
+	// LogEvent writes one log line for each decision that affects a job.
 	LogEvent func(event string, fields ...any)
 
 	// CountRefusal counts, by reason, the seconds in which workers refuse a task that has waited
